--- a/src/cli/demoCommand.ts
+++ b/src/cli/demoCommand.ts
@@ -1,6 +1,6 @@
 /** `parsleynotch demo` (`npm start`): runs the embedded default, sends sample requests, prints answers, exits. */
 import * as commander from "commander";
-import { Embedded } from "./embedded.ts";
+import { EmbeddedSystem } from "./embeddedSystem.ts";
 
 interface Sample {
   readonly title: string;
@@ -69,7 +69,7 @@
   return new commander.Command("demo")
     .description("Run the whole path in one process on loopback, send sample requests, print answers, exit")
     .action(async () => {
-      const system = new Embedded();
+      const system = new EmbeddedSystem();
       await system.start();
       try {
         for (const [i, sample] of samples.entries()) await send(system.entryUrl(i % 2), sample);
@@ -110,7 +110,7 @@
   return `(streamed) ${pieces.join("")}`;
 }
 
-async function summary(system: Embedded): Promise<void> {
+async function summary(system: EmbeddedSystem): Promise<void> {
   const executions = [...system.services.values()].flatMap((service) =>
     service.executions.map((e) => e.call),
   );
--- a/src/cli/embedded.ts
+++ b/src/cli/embeddedSystem.ts
@@ -12,7 +12,7 @@
 import { TemplateStore } from "../common/templateStore.ts";
 
 /** The running parts of an embedded system. */
-export class Embedded {
+export class EmbeddedSystem {
   readonly platform = new PlatformServer({ hostLagMs: 0 });
   readonly engines: EngineServer[] = [];
   readonly services = new Map<keyof ServiceAddresses, ServiceServer>();
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -4,7 +4,7 @@
 import * as commander from "commander";
 import { Failure } from "../common/errors.ts";
 import { readLog, type LogLine } from "../explain/logLine.ts";
-import { tellStory } from "../explain/story.ts";
+import { requestTimeline } from "../explain/requestTimeline.ts";
 
 const standardInput = 0;
 
@@ -17,7 +17,7 @@
     .action((requestId: string, logs: string[]) => {
       const read = logs.length === 0 ? [readLog("log", readText(standardInput))] : logs.map(readFile);
       const lines: LogLine[] = read.flatMap((log) => log.lines);
-      for (const line of tellStory(lines, requestId)) process.stdout.write(`${line}\n`);
+      for (const line of requestTimeline(lines, requestId)) process.stdout.write(`${line}\n`);
       const skipped = read.reduce((sum, log) => sum + log.skipped, 0);
       if (skipped > 0) process.stderr.write(`${skipped} lines are not of a parsleynotch log\n`);
     });
--- a/src/cli/reportFailures.ts
+++ b/src/cli/reportFailures.ts
@@ -10,6 +10,6 @@
     const failure = toFailure(error);
     createLog("cli").error({ event: "failed", kind: failure.kind, message: failure.message });
     process.stderr.write(`parsleynotch: ${failure.kind}: ${failure.message}\n`);
-    process.exitCode = failure.answer.exitCode;
+    process.exitCode = failure.response.exitCode;
   }
 }
--- a/src/common/emitter.ts
+++ b/src/common/emitter.ts
@@ -21,7 +21,7 @@
   }
 
   /** Resolves at the next event, or after `ms`. */
-  next(ms: number): Promise<void> {
+  waitForNext(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -40,14 +40,14 @@
 export type ErrorKind = typeof ErrorKind.Type;
 
 /** How one kind of failure is answered: HTTP status, exit code of a CLI, seconds to wait before retrying (0: do not retry). */
-export interface Answer {
+export interface FailureResponse {
   readonly status: number;
   readonly exitCode: number;
   readonly retryAfterSeconds: number;
 }
 
 /** Kind → answer. `not-run` means provably not executed; `outcome-unknown` means it may have run. */
-export const answers: Readonly<Record<ErrorKind, Answer>> = {
+export const failureResponses: Readonly<Record<ErrorKind, FailureResponse>> = {
   "bad-request": { status: 400, exitCode: 2, retryAfterSeconds: 0 },
   "bad-settings": { status: 400, exitCode: 78, retryAfterSeconds: 0 },
   "bad-template": { status: 422, exitCode: 65, retryAfterSeconds: 0 },
@@ -104,8 +104,8 @@
   }
 
   /** The answer for this failure's kind. */
-  get answer(): Answer {
-    return answers[this.kind];
+  get response(): FailureResponse {
+    return failureResponses[this.kind];
   }
 
   /** This failure as an HTTP / RPC body. */
@@ -114,7 +114,7 @@
       error: {
         kind: this.kind,
         message: this.message,
-        retryAfterSeconds: this.answer.retryAfterSeconds,
+        retryAfterSeconds: this.response.retryAfterSeconds,
         ...(this.requestId === undefined ? {} : { requestId: this.requestId }),
       },
     };
--- a/src/common/hostLog.ts
+++ b/src/common/hostLog.ts
@@ -5,7 +5,7 @@
 // A CommonJS module: its default export is the one that both Node and the bundler see.
 import * as sonic from "sonic-boom";
 import * as tslog from "tslog";
-import { LineLimit } from "./lineLimit.ts";
+import { LogRateLimiter } from "./logRateLimiter.ts";
 import { logLevel, type Log } from "./log.ts";
 
 /** Bytes kept while the reader is slow; lines beyond are dropped and counted. */
@@ -65,7 +65,7 @@
 
 /** Makes a log of flat lines, each event's number of lines bounded. */
 export function createFlatLog(name: string, sink: LineSink, minLevel = logLevel()): Log {
-  const limit = new LineLimit();
+  const limit = new LogRateLimiter();
   return new tslog.Logger<unknown>({
     type: "json",
     name,
@@ -88,7 +88,7 @@
 }
 
 /** Lines of this event left out before this one; undefined if it is left out too. */
-function allow(limit: LineLimit, { _meta, event }: Partial<LogRecord>): number | undefined {
+function allow(limit: LogRateLimiter, { _meta, event }: Partial<LogRecord>): number | undefined {
   const level = _meta?.logLevelName;
   if (event === undefined || level === "WARN" || level === "ERROR" || level === "FATAL") return 0;
   return limit.pass(event, performance.now());
--- a/src/common/http.ts
+++ b/src/common/http.ts
@@ -47,7 +47,7 @@
     if (!res.writableEnded) res.destroy();
     return;
   }
-  const { status, retryAfterSeconds } = failure.answer;
+  const { status, retryAfterSeconds } = failure.response;
   // Guards "the next request on this connection is reset": after an oversize body the rest of it is still
   // in the socket, so the connection is closed rather than reused for another request.
   if (failure.kind === "body-too-large") res.setHeader("connection", "close");
--- a/src/common/httpCall.ts
+++ b/src/common/httpCall.ts
@@ -1,7 +1,7 @@
 /** One HTTP call with a small body and a time limit, for control traffic (store, orders, peers). */
 import * as http from "node:http";
 import { Failure } from "./errors.ts";
-import { afterWait } from "./readWatermark.ts";
+import { setTimeoutAfterInput } from "./readWatermark.ts";
 
 /** What to call and how long to wait. */
 export interface HttpCall {
@@ -48,7 +48,7 @@
       },
     });
     let answered = false;
-    const timer = afterWait(call.timeoutMs, () => {
+    const timer = setTimeoutAfterInput(call.timeoutMs, () => {
       if (answered) return;
       reject(new Failure("deadline-exceeded", `${target}: no answer within ${call.timeoutMs} ms`));
       req.socket?.resetAndDestroy();
--- a/src/common/lineLimit.ts
+++ b/src/common/logRateLimiter.ts
@@ -6,7 +6,7 @@
 import { TokenBucket } from "./tokenBucket.ts";
 
 /** Options of a `LineLimit`. */
-export interface LineLimitOptions {
+export interface LogRateLimiterOptions {
   /** Lines per second of one event in the long run: a node's share of 1,000 requests a second, all failing. */
   readonly perS?: number;
   /** Lines of one event that may come at once. */
@@ -22,11 +22,11 @@
 }
 
 /** Decides which lines are written. */
-export class LineLimit {
-  private readonly options: Required<LineLimitOptions>;
+export class LogRateLimiter {
+  private readonly options: Required<LogRateLimiterOptions>;
   private readonly events = new Map<string, EventLines>();
 
-  constructor(options: LineLimitOptions = {}) {
+  constructor(options: LogRateLimiterOptions = {}) {
     this.options = { ...defaults, ...options };
   }
 
--- a/src/common/loopTask.ts
+++ b/src/common/loopTask.ts
@@ -10,7 +10,7 @@
   constructor(readonly name: string) {}
 
   start(): Promise<void> {
-    void this.follow();
+    void this.run();
     return Promise.resolve();
   }
 
@@ -26,9 +26,9 @@
 
   /** Waits until `wake`, or for `ms`. */
   protected pause(ms: number): Promise<void> {
-    return this.woken.next(ms);
+    return this.woken.waitForNext(ms);
   }
 
   /** Runs until `stopped`; never rejects. */
-  protected abstract follow(): Promise<void>;
+  protected abstract run(): Promise<void>;
 }
--- a/src/common/openai.ts
+++ b/src/common/openai.ts
@@ -55,7 +55,7 @@
 export type Chunk = typeof Chunk.Type;
 
 /** What identifies an answer in its wire shapes. */
-export interface AnswerIdentity {
+export interface CompletionIdentity {
   readonly id: string;
   readonly model: string;
   /** Chat completion, or text completion. */
@@ -64,7 +64,7 @@
 
 /** One SSE event of a streamed answer: a token, or the end with its reason. */
 export function chunkEvent(
-  identity: AnswerIdentity,
+  identity: CompletionIdentity,
   content: string | undefined,
   reason?: FinishReason,
 ): string {
@@ -81,7 +81,7 @@
 export const doneEvent = "data: [DONE]\n\n";
 
 /** A whole answer as one JSON body. */
-export function wholeAnswer(identity: AnswerIdentity, text: string, reason: FinishReason): unknown {
+export function completionBody(identity: CompletionIdentity, text: string, reason: FinishReason): unknown {
   const choice = identity.chat
     ? { index: 0, message: { role: "assistant", content: text }, finish_reason: reason }
     : { index: 0, text, finish_reason: reason };
--- a/src/common/platformClient.ts
+++ b/src/common/platformClient.ts
@@ -1,6 +1,6 @@
 /** Client of the platform's table service, object store, weight store and host list (JSON-RPC). */
 import * as Schema from "effect/Schema";
-import { RpcClient, type Traffic } from "./rpc.ts";
+import { RpcClient, type RpcTraffic } from "./rpc.ts";
 import * as table from "./table.ts";
 
 /** A backend host as the platform's host list reports it. */
@@ -20,7 +20,7 @@
   /** Per-call timeout in ms. */
   readonly timeoutMs?: number;
   /** Where calls and bytes are counted. */
-  readonly traffic?: Traffic;
+  readonly traffic?: RpcTraffic;
 }
 
 /** Typed calls to the platform; failures are `Failure`s (`conflict`, `platform-unavailable`, …). */
--- a/src/common/readWatermark.ts
+++ b/src/common/readWatermark.ts
@@ -32,7 +32,7 @@
 }
 
 /** A turn of the event loop. */
-export interface Turn {
+export interface LoopIteration {
   readonly tookMs: number;
   readonly endMs: number;
 }
@@ -49,7 +49,7 @@
 export class ReadWatermark implements Task {
   readonly name = "read-watermark";
   /** A marked turn of the event loop ended. */
-  readonly turned = new Emitter<Turn>();
+  readonly iterationEnded = new Emitter<LoopIteration>();
   /** What arrived at open sockets, and connections that came, before these marks are read. */
   private read = readMark();
   private accepted = this.read;
@@ -76,7 +76,7 @@
   }
 
   /** Everything that arrived at open sockets before this moment has been read; on the steady clock, ms. */
-  get ms(): number {
+  get readUpToMs(): number {
     return performance.now() - this.lagMs;
   }
 
@@ -86,31 +86,31 @@
   }
 
   /** Every connection that came before this moment has been accepted and read, ms. */
-  get acceptedMs(): number {
+  get acceptedUpToMs(): number {
     return performance.now() - this.since(this.accepted);
   }
 
   /** Do more connections wait to be accepted than the process can serve? New ones are better closed at once. */
-  get swamped(): boolean {
+  get acceptOverloaded(): boolean {
     const { backlog } = this;
     if (backlog === undefined || backlog.accepts < swampedAccepts) return false;
     return performance.now() - backlog.sinceMs > swampedMs;
   }
 
   /** A request was read. */
-  noteRequest(): void {
+  recordRequest(): void {
     this.usedMs = performance.now();
     if (this.currentPeriodMs !== periodMs) this.pollSoon();
   }
 
   /** A connection was accepted; others may still wait. */
-  noteAccepted(): void {
+  recordAcceptedConnection(): void {
     this.accepts += 1;
     this.pollSoon();
   }
 
   /** A datagram was read; others may still wait. */
-  noteDatagram(): void {
+  recordDatagram(): void {
     this.datagrams += 1;
   }
 
@@ -118,11 +118,11 @@
    * Resolves once what has arrived by now is read, and the backlog of connections, unless there are too many of them. Those
    * that wait for it go on together; the later ones of many read again first.
    */
-  async caughtUp(): Promise<void> {
-    await inputRead();
+  async waitUntilCaughtUp(): Promise<void> {
+    await waitForPendingInput();
     const { backlog } = this;
-    if (backlog !== undefined) await backlog.over.next(Math.max(0, longestDrainMs - ageOf(backlog)));
-    while (performance.now() - polledMs > staleMs) await inputRead();
+    if (backlog !== undefined) await backlog.over.waitForNext(Math.max(0, longestDrainMs - ageOf(backlog)));
+    while (performance.now() - polledMs > staleMs) await waitForPendingInput();
   }
 
   private since(mark: Mark): number {
@@ -185,7 +185,7 @@
       this.backlog.accepts += newAccepts;
       if (ageOf(this.backlog) > longestDrainMs) this.backlog.over.fire(undefined);
     }
-    this.turned.fire({ tookMs: endMs - mark.steadyMs, endMs });
+    this.iterationEnded.fire({ tookMs: endMs - mark.steadyMs, endMs });
   }
 }
 
@@ -197,7 +197,7 @@
  * Resolves once everything that has arrived at open sockets by now is read, and its callbacks have run: a caller's
  * departure, a server's answer.
  */
-export function inputRead(): Promise<void> {
+export function waitForPendingInput(): Promise<void> {
   // The first immediate may run before the sockets are polled again.
   reading ??= new Promise((resolve) => {
     setImmediate(() => {
@@ -213,8 +213,8 @@
 }
 
 /** Calls back after `ms`, when what has arrived by then is read: what was waited for may be among it. */
-export function afterWait(ms: number, callback: () => void): NodeJS.Timeout {
-  return setTimeout(() => void inputRead().then(callback), ms);
+export function setTimeoutAfterInput(ms: number, callback: () => void): NodeJS.Timeout {
+  return setTimeout(() => void waitForPendingInput().then(callback), ms);
 }
 
 function ageOf({ sinceMs }: Backlog): number {
--- a/src/common/rpc.ts
+++ b/src/common/rpc.ts
@@ -24,7 +24,7 @@
           return await handler(params);
         } catch (error) {
           const failure = toFailure(error);
-          throw new jsonrpc.JSONRPCErrorException(failure.message, failure.answer.status, failure.toBody());
+          throw new jsonrpc.JSONRPCErrorException(failure.message, failure.response.status, failure.toBody());
         }
       });
     }
@@ -39,7 +39,7 @@
 }
 
 /** Control-plane traffic of one node: calls made and bytes sent and received, summed over its clients. */
-export class Traffic {
+export class RpcTraffic {
   calls = 0;
   bytesSent = 0;
   bytesReceived = 0;
@@ -53,7 +53,7 @@
 /** Options of an `RpcClient`. */
 export interface RpcClientOptions {
   /** Where this client adds its calls and bytes; none by default. */
-  readonly traffic?: Traffic;
+  readonly traffic?: RpcTraffic;
   /** Base URL of the peer, e.g. `http://127.0.0.1:7000`. */
   readonly url: string;
   /** Per-call timeout in ms; a silent connection fails the call instead of hanging it. */
@@ -66,13 +66,13 @@
 export class RpcClient {
   private readonly endpoint: string;
   private readonly timeoutMs: number;
-  private readonly traffic: Traffic;
+  private readonly traffic: RpcTraffic;
   private lastId = 0;
 
   constructor(options: RpcClientOptions) {
     this.endpoint = `${options.url}/rpc`;
     this.timeoutMs = options.timeoutMs ?? clientDefaults.timeoutMs;
-    this.traffic = options.traffic ?? new Traffic();
+    this.traffic = options.traffic ?? new RpcTraffic();
   }
 
   /** Calls `method` and decodes its result with `schema`. */
--- a/src/common/textHash.ts
+++ b/src/common/textHash.ts
@@ -11,7 +11,7 @@
 }
 
 /** Spreads a hash over all 32 bits, so that texts which differ in their last character are far apart (MurmurHash3). */
-export function spreadHash(hash: number): number {
+export function mixHash(hash: number): number {
   let mixed = hash ^ (hash >>> 16);
   mixed = Math.imul(mixed, 0x85ebca6b);
   mixed ^= mixed >>> 13;
--- a/src/common/tokenBucket.ts
+++ b/src/common/tokenBucket.ts
@@ -17,12 +17,12 @@
   }
 
   /** Whole tokens in the bucket. */
-  get level(): number {
+  get availableTokens(): number {
     return Math.floor(this.tokens);
   }
 
   /** What is missing of the next whole token, 0 if there is one. */
-  get missing(): number {
+  get deficit(): number {
     return Math.max(0, 1 - this.tokens);
   }
 
--- a/src/engine/reply.ts
+++ b/src/engine/reply.ts
@@ -4,8 +4,8 @@
 import {
   chunkEvent,
   doneEvent,
-  wholeAnswer,
-  type AnswerIdentity,
+  completionBody,
+  type CompletionIdentity,
   type FinishReason,
 } from "../common/openai.ts";
 
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly res: http.ServerResponse,
-    private readonly identity: AnswerIdentity,
+    private readonly identity: CompletionIdentity,
     private readonly streaming: boolean,
   ) {
     if (!streaming) return;
@@ -38,6 +38,6 @@
   end(reason: FinishReason): void {
     if (this.res.destroyed) return;
     if (this.streaming) this.res.end(chunkEvent(this.identity, undefined, reason) + doneEvent);
-    else sendJson(this.res, 200, wholeAnswer(this.identity, this.text, reason));
+    else sendJson(this.res, 200, completionBody(this.identity, this.text, reason));
   }
 }
--- a/src/entry/answer.ts
+++ b/src/entry/answer.ts
@@ -8,15 +8,15 @@
 import {
   chunkEvent,
   doneEvent,
-  wholeAnswer,
-  type AnswerIdentity,
+  completionBody,
+  type CompletionIdentity,
   type FinishReason,
 } from "../common/openai.ts";
 
 /** Options of an `Answer`. */
 export interface AnswerOptions {
   readonly res: http.ServerResponse;
-  readonly identity: AnswerIdentity;
+  readonly identity: CompletionIdentity;
   readonly streaming: boolean;
 }
 
@@ -53,7 +53,7 @@
   end(reason: FinishReason): void {
     const { res, identity, streaming } = this.options;
     if (!streaming) {
-      sendJson(res, 200, wholeAnswer(identity, this.text, reason));
+      sendJson(res, 200, completionBody(identity, this.text, reason));
       return;
     }
     this.open();
--- a/src/entry/completions.ts
+++ b/src/entry/completions.ts
@@ -56,7 +56,7 @@
     const { meter, retries } = this.options;
     const { request } = completion;
     const leaveMeter = meter.begin(request.model);
-    retries.earn();
+    retries.deposit();
     const answer = new Answer({
       res: completion.res,
       identity: {
@@ -89,7 +89,7 @@
       const engine = await this.find(completion, tried);
       if (engine === undefined) break;
       // Guards "retries bury a failing pool": past the budget the last failure is the answer, at once.
-      if (attempt > 0 && !this.options.retries.spend()) break;
+      if (attempt > 0 && !this.options.retries.tryWithdraw()) break;
       // What has begun is not refused half-way.
       if (answer.tokens === 0) this.options.admission.check(applicantOf(completion), engine);
       tried.add(engine.address);
--- a/src/entry/demandReporter.ts
+++ b/src/entry/demandReporter.ts
@@ -1,6 +1,6 @@
 /** The task that sends this node's demand reports to the holder of the placement lease. */
 import type { Log } from "../common/log.ts";
-import { RpcClient, type Traffic } from "../common/rpc.ts";
+import { RpcClient, type RpcTraffic } from "../common/rpc.ts";
 import { PeriodicTask } from "../common/supervisor.ts";
 import type { DemandMeter } from "./demandMeter.ts";
 import { DemandReceipt, type DemandReport } from "./demandReport.ts";
@@ -14,7 +14,7 @@
   readonly lease: Lease;
   readonly log: Log;
   readonly everyMs?: number;
-  readonly traffic?: Traffic;
+  readonly traffic?: RpcTraffic;
 }
 
 const defaults = { everyMs: 500 };
--- a/src/entry/entryNode.ts
+++ b/src/entry/entryNode.ts
@@ -8,7 +8,7 @@
 import { close, listen } from "../common/http.ts";
 import { createLog } from "../common/log.ts";
 import { PlatformClient } from "../common/platformClient.ts";
-import { decodeParams, RpcEndpoint, Traffic } from "../common/rpc.ts";
+import { decodeParams, RpcEndpoint, RpcTraffic } from "../common/rpc.ts";
 import { Supervisor } from "../common/supervisor.ts";
 import { planners, type PlacementPolicy } from "../placement/planners.ts";
 import { Admission } from "./admission.ts";
@@ -29,7 +29,7 @@
 import { EntryMetrics } from "./metrics.ts";
 import { Peers } from "./peers.ts";
 import { Placer } from "./placer.ts";
-import { Quarantine, QuarantineNews } from "../serving/quarantine/quarantine.ts";
+import { Quarantine, QuarantineUpdate } from "../serving/quarantine/quarantine.ts";
 import { RetryBudget } from "../serving/retryBudget.ts";
 import { Router } from "./router.ts";
 import type { RoutingPolicy } from "./routingPolicies.ts";
@@ -85,7 +85,7 @@
 export class EntryNode {
   readonly metrics = new EntryMetrics();
   /** Control-plane calls and bytes of this node (platform and engine RPCs). */
-  readonly traffic = new Traffic();
+  readonly traffic = new RpcTraffic();
   readonly config: ConfigWatcher;
   readonly fleet: Fleet;
   /** The bound port, after `start`. */
@@ -159,7 +159,7 @@
         "config.rows": (params) => Promise.resolve(this.config.rowsSince(decodeParams(Since, params).since)),
         "hosts.known": () => Promise.resolve(this.fleet.known()),
         [quarantineMethod]: (params) => {
-          this.held.hear(decodeParams(QuarantineNews, params));
+          this.held.hear(decodeParams(QuarantineUpdate, params));
           return Promise.resolve({});
         },
         "placement.demand": (params) => Promise.resolve(receive(decodeParams(DemandReport, params))),
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -6,7 +6,7 @@
 import * as protocol from "../common/engineProtocol.ts";
 import type { Log } from "../common/log.ts";
 import { Host, type PlatformClient } from "../common/platformClient.ts";
-import { RpcClient, type Traffic } from "../common/rpc.ts";
+import { RpcClient, type RpcTraffic } from "../common/rpc.ts";
 import { PeriodicTask } from "../common/supervisor.ts";
 import type { Peers } from "./peers.ts";
 
@@ -66,7 +66,7 @@
   /** How long an engine may fail before its copies count as lost, in ms. */
   readonly lostMs?: number;
   /** Where status polls are counted. */
-  readonly traffic?: Traffic;
+  readonly traffic?: RpcTraffic;
 }
 
 const defaults = { pollMs: 500, statusTimeoutMs: 1000, lostMs: 3000 };
--- a/src/entry/heldRequests.ts
+++ b/src/entry/heldRequests.ts
@@ -6,7 +6,7 @@
 import type { Log } from "../common/log.ts";
 import { Failure, toFailure } from "../common/errors.ts";
 import { fingerprintOf } from "../serving/quarantine/fingerprint.ts";
-import { QuarantineNews, type Quarantine } from "../serving/quarantine/quarantine.ts";
+import { QuarantineUpdate, type Quarantine } from "../serving/quarantine/quarantine.ts";
 import type { Completion } from "./completion.ts";
 import type { Engine } from "./fleet.ts";
 import type { Peers } from "./peers.ts";
@@ -33,7 +33,7 @@
 
   /** Rejects a request that is held back with `quarantined`. */
   check(fingerprint: string, requestId: string): void {
-    if (this.options.quarantine.leftMs(fingerprint, performance.now()) <= 0) return;
+    if (this.options.quarantine.remainingMs(fingerprint, performance.now()) <= 0) return;
     throw new Failure("quarantined", "held back, as engines ended while they ran it", requestId);
   }
 
@@ -44,7 +44,7 @@
     if (engine.listedLeaving || engine.noticed) return;
     const now = performance.now();
     quarantine.expire(now, false);
-    quarantine.cut(fingerprint, incarnationOf(engine), now);
+    quarantine.recordConnectionLoss(fingerprint, incarnationOf(engine), now);
     log.warn({ event: "request-cut", fingerprint, engine: engine.address });
     this.tell();
   }
@@ -52,19 +52,19 @@
   /** The engine ran the request, which was sent at `sentMs`, to its end. */
   served(fingerprint: string, engine: Engine, sentMs: number): void {
     const { quarantine } = this.options;
-    quarantine.answered(incarnationOf(engine), sentMs, performance.now());
-    quarantine.survived(fingerprint, performance.now());
+    quarantine.recordResponse(incarnationOf(engine), sentMs, performance.now());
+    quarantine.recordSuccess(fingerprint, performance.now());
     this.tell();
   }
 
   /** Takes what another entry node saw. */
-  hear(news: QuarantineNews): void {
-    this.options.quarantine.hear(news, false, performance.now());
+  hear(news: QuarantineUpdate): void {
+    this.options.quarantine.applyUpdate(news, false, performance.now());
   }
 
   private tell(): void {
     const { quarantine, peers, log } = this.options;
-    const news = quarantine.takeNews();
+    const news = quarantine.takeUpdate();
     if (news === undefined) return;
     peers.tell(quarantineMethod, news, (error) => {
       log.info({ event: "quarantine-not-told", detail: toFailure(error).message });
--- a/src/entry/loadBudget.ts
+++ b/src/entry/loadBudget.ts
@@ -26,7 +26,7 @@
     const now = Date.now();
     this.tokens.add(((now - this.refilledAt) / 1000) * this.options.loadsPerSecond);
     this.refilledAt = now;
-    return Math.max(0, Math.min(this.tokens.level, this.options.loadsAtOnce - running));
+    return Math.max(0, Math.min(this.tokens.availableTokens, this.options.loadsAtOnce - running));
   }
 
   /** Takes the token of one load. */
--- a/src/entry/peers.ts
+++ b/src/entry/peers.ts
@@ -4,13 +4,13 @@
  * what the platform said, with the platform's own revisions.
  */
 import * as Schema from "effect/Schema";
-import { RpcClient, type Traffic } from "../common/rpc.ts";
+import { RpcClient, type RpcTraffic } from "../common/rpc.ts";
 
 /** Options of `Peers`. */
 export interface PeersOptions {
   /** Addresses of the other entry nodes, from the settings. */
   readonly addresses?: readonly string[];
-  readonly traffic?: Traffic;
+  readonly traffic?: RpcTraffic;
   /** How long one peer may take to answer, in ms. */
   readonly timeoutMs?: number;
 }
--- a/src/explain/story.ts
+++ b/src/explain/requestTimeline.ts
@@ -21,7 +21,7 @@
 const life = new Set(["started", "stopping", "stopped"]);
 
 /** The story, a line each, in order of time. */
-export function tellStory(lines: readonly LogLine[], requestId: string): string[] {
+export function requestTimeline(lines: readonly LogLine[], requestId: string): string[] {
   const own = lines.filter((line) => line.requestId === requestId);
   const end = own.find((line) => line.event === "request") ?? own.at(-1);
   if (end === undefined) {
--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -8,22 +8,22 @@
 import type { Log } from "../common/log.ts";
 import { PeriodicTask } from "../common/supervisor.ts";
 import {
-  crowdingOf,
-  isCrowded,
-  isFew,
-  turnToActivate,
-  turnToRetire,
+  overutilizationLevel,
+  isOverutilized,
+  isSmallFleet,
+  turnsBeforeActivation,
+  turnsBeforeRetirement,
   type ActiveNode,
 } from "../serving/membership/activeSet.ts";
 import {
   Member,
   Roster,
-  RosterStanding,
+  RosterNodeStatus,
   type PeerTable,
-  type Pulse,
-  type Standing,
+  type Heartbeat,
+  type NodeStatus,
 } from "../serving/membership/peerTable.ts";
-import { beginning, formatPosition, type StorePosition } from "../serving/storePosition.ts";
+import { initialPosition, formatPosition, type StorePosition } from "../serving/storePosition.ts";
 import type { PeerTask } from "./peerTask.ts";
 
 /**
@@ -71,7 +71,7 @@
 const AskParams = Schema.Struct({ node: Member, digest: Schema.String });
 
 /** Leaves out what only a pulse holds. */
-const encodeStanding = Schema.encodeSync(RosterStanding);
+const encodeStanding = Schema.encodeSync(RosterNodeStatus);
 
 /** A node that stands by and asked lately. */
 interface Listener {
@@ -87,9 +87,9 @@
   readonly table: PeerTable;
   /** Everything that arrived before this moment has been read, ms: a peer is silent as of then, not as of now. */
   readonly readUntilMs: () => number;
-  readonly peers: Pick<PeerTask, "handle" | "heard" | "tellEveryone" | "tellOne">;
+  readonly peers: Pick<PeerTask, "handle" | "heartbeatReceived" | "tellEveryone" | "tellOne">;
   /** This node as its peers see it. */
-  readonly standing: () => Standing;
+  readonly standing: () => NodeStatus;
   /** Revision of the newest change of which servers there are. */
   readonly presenceRevision: () => number;
   /** The store's position of the newest change of quarantined requests. */
@@ -99,9 +99,9 @@
   /** Does the node hold the placement lease? */
   readonly holdsLease: () => boolean;
   /** Gives the placement lease up. */
-  readonly handOver: () => Promise<void>;
+  readonly stepDown: () => Promise<void>;
   /** Does the node know the other nodes, from the store or from peers, or has it waited long enough? */
-  readonly listKnown: () => boolean;
+  readonly membershipKnown: () => boolean;
   /** By how many nodes a zone may grow in a step. */
   readonly mostPerStep?: number;
 }
@@ -111,7 +111,7 @@
   /** The node became active, or stands by from now on. */
   readonly changed = new Emitter<boolean>();
   /** What an active node told this one, which stands by. */
-  readonly heard = new Emitter<Roster>();
+  readonly rosterReceived = new Emitter<Roster>();
   private activeNow = false;
   private stopping = false;
   /** Of the next decision, if a wait ends before the next look. */
@@ -145,7 +145,7 @@
     options.peers.handle("roster", (params) => {
       this.onRoster(params);
     });
-    options.peers.heard.on((pulse) => {
+    options.peers.heartbeatReceived.on((pulse) => {
       this.onPulse(pulse);
     });
   }
@@ -156,18 +156,18 @@
   }
 
   /** Time since any active node read the store, as a node that stands by hears it, ms. */
-  get heardReadAgeMs(): number {
+  get reportedReadAgeMs(): number {
     if (this.readHeard === undefined) return Number.POSITIVE_INFINITY;
     return this.readHeard.ageMs + performance.now() - this.readHeard.atMs;
   }
 
   /** The node stops: it becomes active no more. */
-  stopSoon(): void {
+  preventActivation(): void {
     this.stopping = true;
   }
 
   override async dispose(): Promise<void> {
-    this.stopSoon();
+    this.preventActivation();
     clearTimeout(this.timer);
     await super.dispose();
   }
@@ -182,29 +182,29 @@
   }
 
   private decide(): void {
-    if (this.stopping || !this.options.listKnown()) return;
+    if (this.stopping || !this.options.membershipKnown()) return;
     const now = performance.now();
     const { table } = this.options;
     const view = {
       self: this.options.standing(),
       active: table.active(this.options.readUntilMs()),
-      listed: table.listed,
+      knownNodes: table.knownNodes,
       mostPerStep: this.options.mostPerStep,
     };
     if (this.activeNow) {
-      const turn = turnToRetire(view);
+      const turn = turnsBeforeRetirement(view);
       const dueMs = this.dueFor(turn !== undefined, now);
       if (turn !== undefined && dueMs >= surplusMs + turn * retireTurnMs) this.retire(view.active);
       return;
     }
-    const turn = turnToActivate(view);
+    const turn = turnsBeforeActivation(view);
     // Guards "nodes beyond the plan step in beside it": while it is carried out, old word of use mixes with new.
     if (turn !== undefined && turn < this.turn) this.dueSinceMs = undefined;
     this.turn = turn ?? 0;
     const dueMs = this.dueFor(turn !== undefined, now);
     if (turn === undefined) return;
     // At a start nobody is known to be active, and those that come first needn't wait for others.
-    const first = isFew(view.listed) || (turn === 0 && view.active.length === 0);
+    const first = isSmallFleet(view.knownNodes) || (turn === 0 && view.active.length === 0);
     const waitMs = first ? 0 : missingMs + Math.min(mostTurns, turn) * turnMs;
     if (dueMs >= waitMs) this.become(true, view.active);
     else this.decideIn(waitMs - dueMs);
@@ -236,14 +236,14 @@
    * lease while stronger ones were starting.
    */
   private retire(others: readonly ActiveNode[]): void {
-    if (this.options.holdsLease()) void this.options.handOver();
+    if (this.options.holdsLease()) void this.options.stepDown();
     else this.become(false, others);
   }
 
   private become(active: boolean, others: readonly ActiveNode[]): void {
     this.activeNow = active;
     this.dueSinceMs = undefined;
-    this.options.table.forgetRosters();
+    this.options.table.clearRosters();
     this.digests.clear();
     this.listeners.clear();
     this.becameMs = performance.now();
@@ -264,13 +264,13 @@
     if (late !== undefined) this.noteUnanswered(late);
     const { ip, port, zone, strength } = this.options.standing();
     const node = { ip, port, zone, strength };
-    const anchors = table.anchors(readUntilMs()).slice(0, anchorCount);
+    const anchors = table.rosterSources(readUntilMs()).slice(0, anchorCount);
     this.rounds += 1;
     this.askedMs = now;
     const anchor = anchors[this.rounds % Math.max(1, anchors.length)];
     this.unanswered = anchor?.ip;
     // Nobody is known to be active: all that may be are asked.
-    const asked = anchor === undefined ? table.audience(readUntilMs(), true) : [anchor];
+    const asked = anchor === undefined ? table.recipients(readUntilMs(), true) : [anchor];
     for (const peer of asked)
       peers.tellOne("roster.ask", { node, digest: this.digests.get(peer.ip) ?? "" }, peer);
   }
@@ -279,8 +279,8 @@
     const now = performance.now();
     const { table, peers, readUntilMs } = this.options;
     const pauseMs = now - this.becameMs < newMs ? 0 : activeAskMs;
-    if (now - this.askedMs < pauseMs || isFew(table.listed)) return;
-    const anchors = table.anchors(readUntilMs());
+    if (now - this.askedMs < pauseMs || isSmallFleet(table.knownNodes)) return;
+    const anchors = table.rosterSources(readUntilMs());
     this.rounds += 1;
     this.askedMs = now;
     const anchor = anchors[this.rounds % Math.max(1, anchors.length)];
@@ -295,7 +295,7 @@
     this.unansweredCounts.set(ip, count);
     if (count < mostUnanswered) return;
     this.unansweredCounts.delete(ip);
-    this.options.table.drop(ip);
+    this.options.table.markDead(ip);
     this.digests.delete(ip);
   }
 
@@ -303,7 +303,7 @@
   private tellListeners(): void {
     const now = performance.now();
     const roster = this.roster();
-    const { digest, version, fleetRevision, quarantinePosition = beginning, storeEra } = roster;
+    const { digest, version, fleetRevision, quarantinePosition = initialPosition, storeEra } = roster;
     const key = [digest, version, fleetRevision, formatPosition(quarantinePosition), storeEra].join(" ");
     if (key === this.toldKey) return;
     this.toldKey = key;
@@ -316,8 +316,8 @@
   }
 
   /** Tells at once, not at the next look, that more nodes are wanted or that none are any more. */
-  private onPulse(pulse: Pulse): void {
-    if (!this.activeNow || (this.toldCrowding === 0 && !isCrowded([pulse]))) return;
+  private onPulse(pulse: Heartbeat): void {
+    if (!this.activeNow || (this.toldCrowding === 0 && !isOverutilized([pulse]))) return;
     const now = performance.now();
     const self = this.options.standing();
     if (pulse.zone !== self.zone || now - this.toldMs < promptMs) return;
@@ -339,12 +339,12 @@
       })
       .ifRight(({ node, digest }) => {
         // One that started later than this node is missing from the list that it read.
-        this.options.table.meet(node);
+        this.options.table.addLiveNode(node);
         const now = performance.now();
         const listener = { node, askedMs: now, digest };
         const hearsPulses = this.options.table
           .alive(this.options.readUntilMs())
-          .some(({ pulse }) => pulse.ip === node.ip);
+          .some(({ status: pulse }) => pulse.ip === node.ip);
         if (!hearsPulses) this.listeners.set(node.ip, listener);
         this.tellListener(listener, this.roster());
       });
@@ -367,15 +367,15 @@
   }
 
   /** Only of this zone: what other zones use is told by their own nodes. */
-  private crowding(self: Standing): number {
+  private crowding(self: NodeStatus): number {
     const nodes = this.activeNow ? [...this.options.table.active(this.options.readUntilMs()), self] : [];
-    return crowdingOf(nodes.filter(({ zone }) => zone === self.zone));
+    return overutilizationLevel(nodes.filter(({ zone }) => zone === self.zone));
   }
 
   private entries(): Roster["entries"] {
     const { table, readUntilMs } = this.options;
     const readMs = readUntilMs();
-    const entries = table.alive(readMs).map(({ pulse, heardMs }) => ({
+    const entries = table.alive(readMs).map(({ status: pulse, lastHeardMs: heardMs }) => ({
       standing: encodeStanding(pulse),
       ageMs: Math.max(0, Math.round(readMs - heardMs)),
     }));
@@ -394,7 +394,7 @@
           return;
         }
         this.take(roster);
-        this.heard.fire(roster);
+        this.rosterReceived.fire(roster);
         this.decide();
       });
   }
@@ -408,7 +408,7 @@
       [this.options.standing(), ...table.active(this.options.readUntilMs())].map((node) => node.ip),
     );
     const strangers = entries.filter(({ standing }) => !known.has(standing.ip));
-    for (const { standing } of strangers) table.seek(standing, now);
+    for (const { standing } of strangers) table.addContact(standing, now);
     if (strangers.length > 0) peers.tellEveryone();
   }
 
@@ -420,13 +420,13 @@
     if (roster.readAgeMs !== undefined) this.readHeard = { ageMs: roster.readAgeMs, atMs: now };
     if (roster.entries === undefined) {
       // Nothing changed, so all that it named are still heard by it.
-      table.hearAgain(roster.ip, now);
+      table.confirmRoster(roster.ip, now);
       return;
     }
     this.digests.set(roster.ip, roster.digest);
-    table.hearRoster(
+    table.applyRoster(
       roster.ip,
-      roster.entries.map(({ standing, ageMs }) => ({ pulse: standing, heardMs: now - ageMs })),
+      roster.entries.map(({ standing, ageMs }) => ({ status: standing, lastHeardMs: now - ageMs })),
     );
   }
 }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,11 +1,11 @@
 /** One send of a request to one backend server, until its outcome is known. */
 import * as http from "node:http";
 import type * as net from "node:net";
-import { afterWait, inputRead } from "../common/readWatermark.ts";
+import { setTimeoutAfterInput, waitForPendingInput } from "../common/readWatermark.ts";
 import type { BackendServer } from "../serving/backendServer.ts";
 import type { StreamTiming } from "../serving/engineSpeed.ts";
 import { EventSplitter, type StreamEvent } from "../serving/eventSplitter.ts";
-import type { AnswerFacts, HeaderCodec } from "../serving/exchange.ts";
+import type { ResponseMetadata, HeaderCodec } from "../serving/exchange.ts";
 import { parseEndpoint } from "../serving/hostSettings.ts";
 
 /** Time to set up a connection, ms: some ten round trips between zones; a lost first packet takes 1 s. */
@@ -38,16 +38,16 @@
   /** Events up to this one were delivered already. */
   readonly afterEvent: number | undefined;
   /** Without a first byte after this time the server counts as silent, ms. */
-  readonly firstByteMs: number;
+  readonly firstByteTimeoutMs: number;
   /** A pause between events longer than this counts as silent, ms. */
-  readonly pauseMs: number;
+  readonly eventGapTimeoutMs: number;
   /** The whole answer must be there after this time, ms. */
-  readonly answerMs: number;
+  readonly responseTimeoutMs: number;
 }
 
 /** A whole answer, not a stream. */
 export interface WholeAnswer {
-  readonly facts: AnswerFacts;
+  readonly facts: ResponseMetadata;
   readonly raw: readonly string[];
   readonly body: Buffer;
 }
@@ -66,7 +66,7 @@
       /** The stream said itself where it ends, rather than by the end of its connection. */
       readonly framed: boolean;
     }
-  | { readonly kind: "not-run"; readonly facts: AnswerFacts }
+  | { readonly kind: "not-run"; readonly facts: ResponseMetadata }
   | { readonly kind: "unreachable"; readonly reason: string }
   | {
       readonly kind: "broken";
@@ -88,7 +88,7 @@
 /** Told of an attempt's progress. */
 export interface AttemptListener {
   /** The server answers this request. */
-  answer(facts: AnswerFacts): void;
+  answer(facts: ResponseMetadata): void;
   /** The first byte of the body, or the first event, is there. */
   firstByte(): void;
 }
@@ -131,7 +131,7 @@
       headers: options.headers,
       setHost: false,
     });
-    this.overall = afterWait(options.answerMs, () => {
+    this.overall = setTimeoutAfterInput(options.responseTimeoutMs, () => {
       this.end({ kind: "timed-out", reason: "time limit", lastEvent: this.lastEvent });
     });
     this.listen();
@@ -167,14 +167,14 @@
       this.req.end(this.options.body);
       return;
     }
-    const timer = afterWait(connectMs, () => {
+    const timer = setTimeoutAfterInput(connectMs, () => {
       if (!this.connected) this.end({ kind: "unreachable", reason: "connect timeout" });
     });
     socket.once("connect", () => {
       clearTimeout(timer);
       this.onConnected();
       // The caller may have left while the connection was made.
-      void inputRead().then(() => {
+      void waitForPendingInput().then(() => {
         if (!this.settled) this.req.end(this.options.body);
       });
     });
@@ -185,7 +185,7 @@
 
   private onConnected(): void {
     this.connected = true;
-    this.watchSilence(this.options.firstByteMs, "no first byte");
+    this.watchSilence(this.options.firstByteTimeoutMs, "no first byte");
   }
 
   private watchSilence(ms: number, reason: string): void {
@@ -194,7 +194,7 @@
     this.silence = setTimeout(() => {
       const { firstByteMs, events } = this;
       // What was waited for may be there, unread: then the timer was started anew or isn't needed any more.
-      void inputRead().then(() => {
+      void waitForPendingInput().then(() => {
         if (this.firstByteMs !== firstByteMs || this.events !== events) return;
         const waitedMs = firstByteMs === undefined ? ms : undefined;
         this.end({ kind: "silent", reason, lastEvent: this.lastEvent, waitedMs });
@@ -209,11 +209,11 @@
       return;
     }
     this.pausing = true;
-    this.watchSilence(this.options.pauseMs, "pause between events");
+    this.watchSilence(this.options.eventGapTimeoutMs, "pause between events");
   }
 
   private onResponse(res: http.IncomingMessage): void {
-    const facts = this.options.codec.readAnswer(res.statusCode ?? 0, res.headers);
+    const facts = this.options.codec.readResponse(res.statusCode ?? 0, res.headers);
     // Guards "a caller gets another request's answer": a late second answer arrives where the next one is
     // due. The echoed id tells them apart; one without it belongs to no request.
     if (facts.requestId !== this.options.requestId) {
@@ -221,7 +221,7 @@
       return;
     }
     this.listener.answer(facts);
-    if (facts.notRun) {
+    if (facts.notExecuted) {
       this.discard(res, facts);
       return;
     }
@@ -231,14 +231,14 @@
   }
 
   /** Reads the rest of a refusal, so that the connection can be used again. */
-  private discard(res: http.IncomingMessage, facts: AnswerFacts): void {
+  private discard(res: http.IncomingMessage, facts: ResponseMetadata): void {
     res.on("error", () => undefined);
     res.resume();
     this.keepOrClose();
     this.conclude({ kind: "not-run", facts });
   }
 
-  private gather(res: http.IncomingMessage, facts: AnswerFacts): void {
+  private gather(res: http.IncomingMessage, facts: ResponseMetadata): void {
     const chunks: Buffer[] = [];
     this.sawFirstByte();
     clearTimeout(this.silence);
@@ -293,7 +293,7 @@
 
   private timing(): StreamTiming {
     const eventsMs = this.lastEventMs - (this.firstByteMs ?? 0);
-    return { wholeMs: this.lastEventMs, eventsMs, events: this.events };
+    return { totalMs: this.lastEventMs, eventsMs, events: this.events };
   }
 
   private newOf(events: readonly StreamEvent[]): readonly StreamEvent[] {
--- a/src/gateway/callerConnection.ts
+++ b/src/gateway/callerConnection.ts
@@ -84,7 +84,7 @@
   open(raw: readonly string[]): void {
     if (this.res.headersSent) return;
     this.closeIfStopping();
-    this.res.writeHead(200, this.options.codec.answerHeaders(raw));
+    this.res.writeHead(200, this.options.codec.responseHeaders(raw));
   }
 
   write(bytes: Buffer): boolean {
@@ -108,7 +108,7 @@
   /** Gives a server's answer unchanged. */
   relay(answer: WholeAnswer): void {
     this.closeIfStopping();
-    const headers = this.options.codec.answerHeaders(answer.raw);
+    const headers = this.options.codec.responseHeaders(answer.raw);
     if (!answer.facts.framed) {
       this.relayUnframed(answer, headers);
       return;
@@ -143,7 +143,7 @@
     const body = JSON.stringify(failure.toBody());
     const headers = ["Content-Type", "application/json", "Content-Length", String(Buffer.byteLength(body))];
     if (retryAfterS !== undefined) headers.push("Retry-After", retryAfterS.toFixed(2));
-    this.res.writeHead(failure.answer.status, headers);
+    this.res.writeHead(failure.response.status, headers);
     this.res.end(body);
   }
 
--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -5,10 +5,10 @@
 import type { Task } from "../common/supervisor.ts";
 import type { CallerLimits } from "../serving/configuration.ts";
 import type { Endpoint } from "../serving/hostSettings.ts";
-import { RetryBudget, type Sharers } from "../serving/retryBudget.ts";
+import { RetryBudget, type BudgetShare } from "../serving/retryBudget.ts";
 import { CallerConnection } from "./callerConnection.ts";
 import { Exchange } from "./exchange.ts";
-import type { Placer, Serving } from "./serving.ts";
+import type { Placer, GatewayContext } from "./gatewayContext.ts";
 import type { RunLockTask } from "./runLockTask.ts";
 
 /** Largest head of a request Node reads, bytes; callers stay within the configured limit. */
@@ -27,14 +27,14 @@
 /** Options of a `CallerServer`. */
 export interface CallerServerOptions {
   readonly endpoint: Endpoint;
-  readonly serving: Serving;
+  readonly serving: GatewayContext;
   readonly placer: Placer;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly retryRatio: number;
   /** Retries beyond the ratio that all nodes together may make in a window. */
   readonly retryBurst: number;
   /** Nodes that share the budget. */
-  readonly sharers: () => Sharers;
+  readonly sharers: () => BudgetShare;
 }
 
 /** When a connection was accepted, and the earliest moment at which it may have come, ms. */
@@ -102,7 +102,7 @@
 
   private async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const { serving, placer, runLocks } = this.options;
-    serving.watermark.noteRequest();
+    serving.watermark.recordRequest();
     const caller = new CallerConnection({
       ...{ req, res, codec: serving.codec },
       arrivedMs: this.earliestArrivalMs(req.socket),
@@ -134,9 +134,9 @@
    */
   private accept(socket: net.Socket): void {
     const { watermark, metrics } = this.options.serving;
-    watermark.noteAccepted();
-    this.accepted.set(socket, { atMs: performance.now(), earliestMs: watermark.acceptedMs });
-    if (!watermark.swamped) return;
+    watermark.recordAcceptedConnection();
+    this.accepted.set(socket, { atMs: performance.now(), earliestMs: watermark.acceptedUpToMs });
+    if (!watermark.acceptOverloaded) return;
     metrics.closedUnread.inc();
     socket.destroy();
   }
@@ -146,7 +146,7 @@
    * of the event loop after the connection was accepted.
    */
   private earliestArrivalMs(socket: net.Socket): number {
-    const { ms } = this.options.serving.watermark;
+    const { readUpToMs: ms } = this.options.serving.watermark;
     const accepted = this.accepted.get(socket);
     return accepted === undefined || accepted.atMs <= ms ? ms : Math.min(ms, accepted.earliestMs);
   }
@@ -155,7 +155,12 @@
     const known = this.budgets.get(service);
     if (known !== undefined) return known;
     const { retryRatio, retryBurst, sharers } = this.options;
-    const budget = new RetryBudget({ ratio: retryRatio, burst: retryBurst, sharers, firstPart });
+    const budget = new RetryBudget({
+      ratio: retryRatio,
+      burst: retryBurst,
+      budgetShare: sharers,
+      initialFillRatio: firstPart,
+    });
     this.budgets.set(service, budget);
     return budget;
   }
--- a/src/gateway/configurationTask.ts
+++ b/src/gateway/configurationTask.ts
@@ -8,9 +8,9 @@
 import type { Configuration } from "../serving/configuration.ts";
 import { RouteTable } from "../serving/routeTable.ts";
 import type { RowSet } from "../serving/store.ts";
-import type { PeerNews } from "./peerCalls.ts";
-import type { ConfigurationInForce } from "./serving.ts";
-import type { StoreLink } from "./storeLink.ts";
+import type { PeerVersions } from "./peerCalls.ts";
+import type { ActiveConfiguration } from "./gatewayContext.ts";
+import type { StoreHealth } from "./storeHealth.ts";
 import { TableTask, type TableTaskOptions } from "./tableTask.ts";
 
 /** How long one wait for changes lasts, ms: a silent connection delays a configuration by no more. */
@@ -23,14 +23,14 @@
 
 /** Options of a `ConfigurationTask`. */
 export interface ConfigurationTaskOptions extends TableTaskOptions {
-  readonly link: StoreLink;
+  readonly storeHealth: StoreHealth;
   readonly log: Log;
-  readonly configuration: ConfigurationInForce;
+  readonly configuration: ActiveConfiguration;
   /** Where the configuration lies. */
   readonly row: { readonly table: string; readonly key: string };
   readonly decode: (text: string) => purify.Either<Failure, Configuration>;
   /** Calls a peer. */
-  readonly ask: (peer: PeerNews, method: string, params: unknown) => Promise<unknown>;
+  readonly callPeer: (peer: PeerVersions, method: string, params: unknown) => Promise<unknown>;
 }
 
 /** Reads the configuration, then waits for changes. */
@@ -48,12 +48,15 @@
   }
 
   /** A peer may have a newer configuration. */
-  async hear(peer: PeerNews): Promise<void> {
+  async pullIfNewer(peer: PeerVersions): Promise<void> {
     const { configuration, log } = this.options;
     if (peer.version <= (configuration.current?.version ?? 0) || this.pulling) return;
     this.pulling = true;
     try {
-      const { text } = decode(StoredConfiguration, await this.options.ask(peer, "configuration.get", {}));
+      const { text } = decode(
+        StoredConfiguration,
+        await this.options.callPeer(peer, "configuration.get", {}),
+      );
       if (text !== "") this.apply(text, peer.host);
     } catch (error) {
       log.debug({ event: "configuration-not-pulled", peer: peer.host, detail: toFailure(error).message });
@@ -78,7 +81,7 @@
   }
 
   protected override noteCall(failure: Failure | undefined): void {
-    const { link } = this.options;
+    const { storeHealth: link } = this.options;
     if (failure === undefined) link.succeeded();
     else link.failed(failure);
   }
@@ -96,7 +99,7 @@
         const table = new RouteTable(decoded);
         if (previous !== undefined && previous >= table.version) return;
         this.text = text;
-        configuration.offer(table);
+        configuration.applyIfNewer(table);
         log.info({
           event: "configuration-applied",
           version: decoded.version,
--- a/src/gateway/demandBook.ts
+++ b/src/gateway/demandBook.ts
@@ -1,9 +1,9 @@
 /** What callers ask of all nodes together, as the holder of the placement lease knows it: its own and its peers'. */
 import type { EngineLimits } from "../serving/configuration.ts";
-import { negligible } from "../serving/demandMeter.ts";
-import type { Asked, PeerTable, Pulse } from "../serving/membership/peerTable.ts";
+import { negligibleDemand } from "../serving/demandMeter.ts";
+import type { CallerDemand, PeerTable, Heartbeat } from "../serving/membership/peerTable.ts";
 import type { ModelDemand } from "../serving/placementView.ts";
-import { demandKey, type Serving } from "./serving.ts";
+import { demandKey, type GatewayContext } from "./gatewayContext.ts";
 
 /** A peer's demand counts for this long, ms. */
 const askedMs = 1_500;
@@ -12,19 +12,19 @@
 
 /** Gathers what peers say. */
 export class DemandBook {
-  private readonly asked = new Map<string, { asked: Asked; atMs: number }>();
+  private readonly asked = new Map<string, { asked: CallerDemand; atMs: number }>();
   private readonly lastDemandMs = new Map<string, number>();
   private readonly startedMs = performance.now();
   /** When this node became the holder, or ceased to be one. */
   private sinceMs = performance.now();
 
   constructor(
-    private readonly serving: Serving,
+    private readonly serving: GatewayContext,
     private readonly peers: PeerTable,
   ) {}
 
   /** Takes what a peer says. */
-  hear(pulse: Pulse): void {
+  hear(pulse: Heartbeat): void {
     if (pulse.asked !== undefined) this.asked.set(pulse.ip, { asked: pulse.asked, atMs: performance.now() });
   }
 
@@ -40,7 +40,7 @@
   get known(): boolean {
     const now = performance.now();
     if (now - this.sinceMs > hearingMs) return true;
-    const peers = this.peers.alive(now).map((peer) => peer.pulse.ip);
+    const peers = this.peers.alive(now).map((peer) => peer.status.ip);
     return peers.every((ip) => (this.asked.get(ip)?.atMs ?? Number.NEGATIVE_INFINITY) > this.sinceMs);
   }
 
@@ -64,7 +64,7 @@
       const key = demandKey(service, name);
       const engineMs = asked.get(key) ?? 0;
       const waitingNow = waiting.get(key) ?? 0;
-      if (engineMs >= negligible || waitingNow > 0) this.lastDemandMs.set(key, nowMs);
+      if (engineMs >= negligibleDemand || waitingNow > 0) this.lastDemandMs.set(key, nowMs);
       const idleMs = nowMs - (this.lastDemandMs.get(key) ?? this.startedMs);
       return [name, { engineMs, waiting: waitingNow, idleMs, adapters: adapters.get(key)?.size ?? 0 }];
     });
@@ -78,7 +78,7 @@
    */
   adapterUsedMs(key: string, nowMs: number): number {
     const { adapterDemand, adaptersRunning } = this.serving;
-    if (adaptersRunning.has(key) || adapterDemand.level(key, nowMs) >= negligible) return nowMs;
+    if (adaptersRunning.has(key) || adapterDemand.level(key, nowMs) >= negligibleDemand) return nowMs;
     const usedByPeer = this.lately(nowMs).some((asked) => asked.adapters[key] !== undefined);
     return usedByPeer ? nowMs : this.sinceMs;
   }
@@ -114,7 +114,7 @@
   }
 
   /** What peers said that still counts. */
-  private lately(nowMs: number): Asked[] {
+  private lately(nowMs: number): CallerDemand[] {
     return [...this.asked.values()].filter(({ atMs }) => nowMs - atMs < askedMs).map(({ asked }) => asked);
   }
 }
--- a/src/gateway/engineDesk.ts
+++ b/src/gateway/engineController.ts
@@ -2,7 +2,7 @@
 import { toFailure } from "../common/errors.ts";
 import type { Log } from "../common/log.ts";
 import { startedAfter, type BackendServer } from "../serving/backendServer.ts";
-import type { Engines, OrderOutcome, OrderTarget } from "../serving/orders.ts";
+import type { EngineApi, OrderOutcome, OrderTarget } from "../serving/orders.ts";
 import type { GatewayMetrics } from "./gatewayMetrics.ts";
 
 /** What to order. */
@@ -23,7 +23,7 @@
 
 /** What all desks share. */
 export interface DeskOptions {
-  readonly engines: Engines;
+  readonly engines: EngineApi;
   readonly log: Log;
   readonly metrics: GatewayMetrics;
   readonly holder: string;
@@ -59,7 +59,7 @@
 const nothing = { models: [], adapters: [] };
 
 /** The desk of one incarnation of an engine. */
-export class EngineDesk {
+export class EngineController {
   /** Models ordered, by name: their memory counts as taken. */
   readonly coming = new Map<string, Unconfirmed>();
   /** Models whose unloading was ordered and isn't confirmed: their memory counts as taken too. */
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,19 +1,19 @@
 /** One caller's request from arrival to answer: route, wait, choose, send, send again, answer. */
 import { Failure, toFailure, type ErrorKind } from "../common/errors.ts";
-import { repeatable, type Model, type Route, type Service } from "../serving/configuration.ts";
+import { isRepeatable, type Model, type Route, type Service } from "../serving/configuration.ts";
 import { engineWorkMs } from "../serving/engineSpeed.ts";
-import type { RequestFacts } from "../serving/exchange.ts";
-import { patienceOf, type Patience } from "../serving/patience.ts";
+import type { RequestMetadata } from "../serving/exchange.ts";
+import { deadlinesOf, type RequestDeadlines } from "../serving/requestDeadlines.ts";
 import type { RetryBudget } from "../serving/retryBudget.ts";
-import { isShed } from "../serving/overload.ts";
-import { firstByteLimitMs, pauseLimitMs } from "../serving/sendRules.ts";
-import type { Chosen } from "../serving/serverChoice.ts";
+import { shouldShed } from "../serving/overload.ts";
+import { firstByteTimeoutMs, eventGapTimeoutMs } from "../serving/sendRules.ts";
+import type { ServerEstimate } from "../serving/serverChoice.ts";
 import { Attempt, type AttemptOutcome, type WholeAnswer } from "./attempt.ts";
 import type { CallerConnection } from "./callerConnection.ts";
 import { QuarantineCheck } from "./quarantineCheck.ts";
 import { SendRecord, serverErrorStatus } from "./sendRecord.ts";
 import { ServerWait, soonS } from "./serverWait.ts";
-import { adapterKey, demandKey, type Placer, type Serving } from "./serving.ts";
+import { adapterKey, demandKey, type Placer, type GatewayContext } from "./gatewayContext.ts";
 import type { RunLockTask } from "./runLockTask.ts";
 
 /** Sends beyond a route's own attempts that servers refused without running, so that it still ends. */
@@ -27,7 +27,7 @@
 
 /** What one exchange works with. */
 export interface ExchangeOptions {
-  readonly serving: Serving;
+  readonly serving: GatewayContext;
   readonly placer: Placer;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly budgetFor: (service: string) => RetryBudget;
@@ -40,7 +40,7 @@
 
 /** Serves one request. */
 export class Exchange {
-  private readonly serving: Serving;
+  private readonly serving: GatewayContext;
   private readonly caller: CallerConnection;
   /** The earliest moment at which the request may have arrived, and for how long it may have lain unread, ms. */
   private readonly arrivedMs: number;
@@ -48,10 +48,10 @@
   private readonly readMs = performance.now();
   /** Since when the request has waited for this node alone, ms: a body may take its caller a while. */
   private waitingSinceMs: number;
-  private facts!: RequestFacts;
+  private facts!: RequestMetadata;
   private route!: Route;
   private service!: Service;
-  private patience!: Patience;
+  private patience!: RequestDeadlines;
   private wait!: ServerWait;
   private body: Buffer | undefined;
   private quarantine!: QuarantineCheck;
@@ -112,11 +112,11 @@
     const path = (req.url ?? "/").split("?")[0] ?? "/";
     const route = table.match(this.facts.host, path);
     if (route === undefined) throw new Failure("unknown-route", `no route for ${this.facts.host}${path}`);
-    const service = table.service(table.pick(route, this.facts.requestId) ?? "");
+    const service = table.service(table.selectService(route, this.facts.requestId) ?? "");
     if (service === undefined) throw new Failure("not-run", `route ${route.name} names no known service`);
     this.route = route;
     this.service = service;
-    this.patience = patienceOf(route, this.facts.deadlineMs, this.arrivedMs);
+    this.patience = deadlinesOf(route, this.facts.deadlineMs, this.arrivedMs);
     if (this.isShed()) throw this.overloaded();
     if (this.options.refuseAll() || (route.kind === "stream" && this.options.refuseStreams())) {
       throw new Failure("draining", "this node is stopping; use another address");
@@ -139,7 +139,7 @@
     this.record = new SendRecord({ serving, service, facts: this.facts, arrivedMs: this.arrivedMs });
     const { runLocks } = this.options;
     this.quarantine = new QuarantineCheck({ serving, runLocks, req, facts: this.facts, body: this.body });
-    this.options.budgetFor(service.name).earn();
+    this.options.budgetFor(service.name).deposit();
   }
 
   private async readBody(limit: number): Promise<Buffer | undefined> {
@@ -147,7 +147,7 @@
     const { headers } = this.caller.req;
     const framed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
     if (!framed) return undefined;
-    this.waitingSinceMs = Math.max(this.arrivedMs, this.serving.watermark.ms);
+    this.waitingSinceMs = Math.max(this.arrivedMs, this.serving.watermark.readUpToMs);
     return body;
   }
 
@@ -158,7 +158,7 @@
     const own = prefix.at(-1)?.tokens ?? promptTokens;
     const output = Math.min(outputTokens, outputHint ?? outputTokens);
     const { paces, speed } = this.serving;
-    const size = { ownTokens: own, outputTokens: output, pace: paces.pace(this.model) };
+    const size = { ownTokens: own, outputTokens: output, prefillFactor: paces.factorOf(this.model) };
     const work = engineWorkMs(size, speed.stepMs, engine.slots);
     this.serving.demand.add(demandKey(this.service.name, model), work, this.arrivedMs);
     if (adapter === undefined) return;
@@ -172,7 +172,7 @@
   private async serve(): Promise<void> {
     for (;;) {
       // The caller may have left since the sockets were last read.
-      await this.serving.watermark.caughtUp();
+      await this.serving.watermark.waitUntilCaughtUp();
       if (this.caller.left) {
         this.ended("caller-left");
         return;
@@ -197,10 +197,10 @@
 
   /** Has the request waited for so long that this node no longer begins it? */
   private isShed(): boolean {
-    const { firstByteByMs } = this.patience;
-    return isShed({
+    const { firstByteDeadlineMs: firstByteByMs } = this.patience;
+    return shouldShed({
       ageMs: performance.now() - this.waitingSinceMs,
-      patienceMs: firstByteByMs - this.arrivedMs,
+      callerTimeoutMs: firstByteByMs - this.arrivedMs,
       targetMs: this.route.targetMs,
       overloaded: this.serving.overload.overloaded,
     });
@@ -227,7 +227,7 @@
     return true;
   }
 
-  private async send(chosen: Chosen): Promise<AttemptOutcome> {
+  private async send(chosen: ServerEstimate): Promise<AttemptOutcome> {
     const { serving, facts: request, route } = this;
     const now = performance.now();
     const { server } = chosen;
@@ -235,7 +235,7 @@
       serving.metrics.queued.observe({ service: this.service.name }, (now - this.arrivedMs) / 1000);
     this.sends += 1;
     const inFlight = this.record.begin(chosen);
-    const answerMs = this.patience.answerByMs - now - answerMarginMs;
+    const answerMs = this.patience.responseDeadlineMs - now - answerMarginMs;
     const stream = route.kind === "stream";
     const body = this.body;
     this.attempt = new Attempt(
@@ -247,29 +247,35 @@
         path: this.caller.req.url ?? "/",
         headers: serving.codec.forwardHeaders(this.caller.req.rawHeaders, {
           serverId: server.id,
-          deadlineMs: Math.max(1, Math.floor(this.patience.answerByMs - now)),
+          deadlineMs: Math.max(1, Math.floor(this.patience.responseDeadlineMs - now)),
           priority: this.service.engine === undefined ? undefined : Math.min(9, route.priority),
-          resumeAfter: this.lastEvent,
+          resumeAfterEventId: this.lastEvent,
           bodyBytes: body?.length,
         }),
         body,
         requestId: request.requestId,
         sink: stream ? this.caller : undefined,
         afterEvent: this.lastEvent ?? request.lastEventId,
-        firstByteMs: firstByteLimitMs({
+        firstByteTimeoutMs: firstByteTimeoutMs({
           route,
-          ran: this.ran,
-          leftMs: this.patience.firstByteByMs - now,
-          expectedMs: chosen.expectedMs,
-          another: this.wait.hasAnother(),
+          priorRuns: this.ran,
+          remainingMs: this.patience.firstByteDeadlineMs - now,
+          expectedFirstByteMs: chosen.expectedMs,
+          hasAlternative: this.wait.hasAnother(),
         }),
-        pauseMs: pauseLimitMs(route, this.ran),
-        answerMs: Math.max(1, answerMs),
+        eventGapTimeoutMs: eventGapTimeoutMs(route, this.ran),
+        responseTimeoutMs: Math.max(1, answerMs),
       },
       {
         answer: (facts) => {
           serving.pool.learnKeepAlive(server.id, facts.keepAliveS);
-          serving.notices.hear(server, facts.notice, now, performance.now(), serving.watermark.ms);
+          serving.notices.recordNotice(
+            server,
+            facts.notice,
+            now,
+            performance.now(),
+            serving.watermark.readUpToMs,
+          );
         },
         firstByte: () => {
           inFlight.started();
@@ -328,17 +334,17 @@
         if (outcome.lastEvent !== undefined && this.caller.begun) this.lastEvent = outcome.lastEvent;
         // A stream that began without event ids can't be continued.
         if (this.caller.begun && this.lastEvent === undefined) return this.giveUp();
-        return this.mayAskAnother(repeatable(this.route) && this.ran < this.route.maxAttempts);
+        return this.mayAskAnother(isRepeatable(this.route) && this.ran < this.route.maxAttempts);
     }
   }
 
   private onAnswer(outcome: Extract<AttemptOutcome, { kind: "answered" }>): boolean {
     const { answer } = outcome;
     if (this.caller.begun) return this.giveUp();
-    if (this.isDoubtful(answer) && repeatable(this.route)) {
+    if (this.isDoubtful(answer) && isRepeatable(this.route)) {
       this.ran += 1;
       const canRepeat = this.ran < this.route.maxAttempts && this.wait.hasAnother();
-      if (canRepeat && this.timeLeft() && this.options.budgetFor(this.service.name).spend()) {
+      if (canRepeat && this.timeLeft() && this.options.budgetFor(this.service.name).tryWithdraw()) {
         if (answer.facts.status < serverErrorStatus) this.fallback = answer;
         return true;
       }
@@ -359,12 +365,12 @@
   }
 
   private mayAskAnother(allowed: boolean): boolean {
-    if (allowed && this.timeLeft() && this.options.budgetFor(this.service.name).spend()) return true;
+    if (allowed && this.timeLeft() && this.options.budgetFor(this.service.name).tryWithdraw()) return true;
     return this.giveUp();
   }
 
   private timeLeft(): boolean {
-    return this.patience.answerByMs - performance.now() > answerMarginMs;
+    return this.patience.responseDeadlineMs - performance.now() > answerMarginMs;
   }
 
   /** The final answer when no server served the request. */
@@ -395,7 +401,7 @@
   }
 
   private refuse(failure: Failure): void {
-    const { status } = failure.answer;
+    const { status } = failure.response;
     this.caller.refuse(failure, status === 503 || status === 429 ? this.retryAfterS : undefined);
     this.ended(failure.kind, failure.message);
   }
--- a/src/gateway/serving.ts
+++ b/src/gateway/gatewayContext.ts
@@ -6,10 +6,10 @@
 import type { HeaderCodec } from "../serving/exchange.ts";
 import { EngineSpeed } from "../serving/engineSpeed.ts";
 import { Fleet } from "../serving/fleet.ts";
-import { LoadBoard } from "../serving/loadBoard.ts";
-import { ModelWaits } from "../serving/modelWait.ts";
-import { ModelPaces } from "../serving/modelPace.ts";
-import { Outliers } from "../serving/outliers.ts";
+import { LoadTracker } from "../serving/loadTracker.ts";
+import { ModelWaitEstimator } from "../serving/modelWaitEstimator.ts";
+import { PrefillFactors } from "../serving/prefillFactors.ts";
+import { OutlierDetector } from "../serving/outlierDetector.ts";
 import { OverloadDetector } from "../serving/overload.ts";
 import { Quarantine } from "../serving/quarantine/quarantine.ts";
 import { PermitIssuer } from "../serving/permits/permitIssuer.ts";
@@ -21,7 +21,7 @@
 import { UpstreamPool } from "./upstreamPool.ts";
 
 /** The configuration in force on this node. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
   private table: RouteTable | undefined;
   readonly changed = new Emitter<RouteTable>();
 
@@ -31,7 +31,7 @@
   }
 
   /** Puts a configuration in force unless it is older than the one that is. */
-  offer(table: RouteTable): boolean {
+  applyIfNewer(table: RouteTable): boolean {
     if (this.table !== undefined && table.version <= this.table.version) return false;
     this.table = table;
     this.changed.fire(table);
@@ -76,19 +76,19 @@
 }
 
 /** The shared parts of one gateway node. */
-export interface Serving {
+export interface GatewayContext {
   readonly host: string;
   readonly zone: string;
   /** A server that said that it leaves may be sent requests for this long, ms. */
   readonly drainMs: number;
   readonly log: Log;
   readonly codec: HeaderCodec;
-  readonly configuration: ConfigurationInForce;
+  readonly configuration: ActiveConfiguration;
   readonly fleet: Fleet;
   /** Fired when a server, or what it holds, was learned or lost, or a server may be sent to again. */
   readonly fleetChanged: Emitter<undefined>;
-  readonly loads: LoadBoard;
-  readonly outliers: Outliers;
+  readonly loads: LoadTracker;
+  readonly outliers: OutlierDetector;
   /** Demand for models, by demand key. */
   readonly demand: DemandMeter;
   /** Demand for adapters, by adapter key. */
@@ -108,8 +108,8 @@
   readonly permitIssuer: PermitIssuer;
   /** Requests under which servers end. */
   readonly quarantine: Quarantine;
-  readonly modelWaits: ModelWaits;
-  readonly paces: ModelPaces;
+  readonly modelWaits: ModelWaitEstimator;
+  readonly paces: PrefillFactors;
   readonly speed: EngineSpeed;
   readonly pool: UpstreamPool;
   readonly metrics: GatewayMetrics;
@@ -119,23 +119,23 @@
 }
 
 /** What differs between nodes. */
-export interface ServingOptions extends Pick<Serving, "host" | "zone" | "drainMs" | "log" | "codec"> {
+export interface ServingOptions extends Pick<GatewayContext, "host" | "zone" | "drainMs" | "log" | "codec"> {
   /** Nodes that callers' requests are spread over now, this one included. */
   readonly nodes: () => number;
 }
 
 /** The parts as they are before anything was learned. */
-export function createServing({ nodes, ...options }: ServingOptions): Serving {
+export function createGatewayContext({ nodes, ...options }: ServingOptions): GatewayContext {
   const notices = new ServerNotices();
   return {
     ...options,
-    configuration: new ConfigurationInForce(),
+    configuration: new ActiveConfiguration(),
     fleet: new Fleet(notices),
     fleetChanged: new Emitter(),
-    loads: new LoadBoard(),
-    outliers: new Outliers(),
-    demand: new DemandMeter({ nodes }),
-    adapterDemand: new DemandMeter({ nodes }),
+    loads: new LoadTracker(),
+    outliers: new OutlierDetector(),
+    demand: new DemandMeter({ nodeCount: nodes }),
+    adapterDemand: new DemandMeter({ nodeCount: nodes }),
     waiting: new RequestCounts(),
     adaptersRunning: new RequestCounts(),
     modelsRunning: new RequestCounts(),
@@ -144,8 +144,8 @@
     permits: new Permits(notices),
     permitIssuer: new PermitIssuer(),
     quarantine: new Quarantine(),
-    modelWaits: new ModelWaits(),
-    paces: new ModelPaces(),
+    modelWaits: new ModelWaitEstimator(),
+    paces: new PrefillFactors(),
     speed: new EngineSpeed(),
     pool: new UpstreamPool(),
     metrics: new GatewayMetrics(),
--- a/src/gateway/gatewayNode.ts
+++ b/src/gateway/gatewayNode.ts
@@ -6,19 +6,19 @@
 import { Supervisor, type Task } from "../common/supervisor.ts";
 import type { BackendServer } from "../serving/backendServer.ts";
 import type { Configuration } from "../serving/configuration.ts";
-import { negligible } from "../serving/demandMeter.ts";
+import { negligibleDemand } from "../serving/demandMeter.ts";
 import type { HeaderCodec } from "../serving/exchange.ts";
 import { formatEndpoint, type HostSettings } from "../serving/hostSettings.ts";
-import { LoadsMessage } from "../serving/loadBoard.ts";
+import { LoadsMessage } from "../serving/loadTracker.ts";
 import { chooseAddresses } from "../serving/membership/directory.ts";
-import type { Engines } from "../serving/orders.ts";
+import type { EngineApi } from "../serving/orders.ts";
 import {
   PeerTable,
-  type Asked,
+  type CallerDemand,
   type Member,
   type PeerAddress,
-  type Pulse,
-  type Standing,
+  type Heartbeat,
+  type NodeStatus,
 } from "../serving/membership/peerTable.ts";
 import type { Store } from "../serving/store.ts";
 import { ActivationTask } from "./activationTask.ts";
@@ -28,15 +28,15 @@
 import { FleetTask } from "./fleetTask.ts";
 import { LeaseTask } from "./leaseTask.ts";
 import { MemberTask } from "./memberTask.ts";
-import { PeerCalls, type PeerNews } from "./peerCalls.ts";
+import { PeerCalls, type PeerVersions } from "./peerCalls.ts";
 import { PeerTask } from "./peerTask.ts";
 import { PermitTask } from "./permitTask.ts";
 import { PlacementTask } from "./placementTask.ts";
 import { QuarantineGossip } from "./quarantineGossip.ts";
 import { QuarantineTask } from "./quarantineTask.ts";
-import { ReadingDuty } from "./readingDuty.ts";
-import { createServing, type Serving } from "./serving.ts";
-import { StoreLink } from "./storeLink.ts";
+import { StoreReaderRole } from "./storeReaderRole.ts";
+import { createGatewayContext, type GatewayContext } from "./gatewayContext.ts";
+import { StoreHealth } from "./storeHealth.ts";
 import { RunLockTask } from "./runLockTask.ts";
 import { Utilization } from "./utilization.ts";
 
@@ -52,7 +52,7 @@
 /** The outside systems, behind the project's own interfaces. */
 export interface GatewayPlatform {
   readonly store: Store;
-  readonly engines: Engines;
+  readonly engines: EngineApi;
   readonly codec: HeaderCodec;
   readonly configurationRow: { readonly table: string; readonly key: string };
   readonly decodeConfiguration: (text: string) => purify.Either<Failure, Configuration>;
@@ -70,12 +70,12 @@
   readonly platform: GatewayPlatform;
   readonly log: Log;
   /** Part of its processor time that the node uses, from 0 to 1; that of the whole process by default. */
-  readonly busy?: () => number;
+  readonly cpuUtilization?: () => number;
 }
 
 /** Starts, serves and stops. */
 export class GatewayNode {
-  private readonly serving: Serving;
+  private readonly serving: GatewayContext;
   private readonly table: PeerTable;
   private readonly peers: PeerTask;
   private readonly calls: PeerCalls;
@@ -84,7 +84,7 @@
   private readonly lease: LeaseTask;
   private readonly member: MemberTask;
   private readonly activation: ActivationTask;
-  private readonly reading: ReadingDuty;
+  private readonly reading: StoreReaderRole;
   private readonly utilization = new Utilization();
   private readonly placement: PlacementTask;
   private readonly quarantine: QuarantineTask;
@@ -96,7 +96,7 @@
   constructor(private readonly options: GatewayNodeOptions) {
     const { settings, platform, log } = options;
     this.table = new PeerTable(settings);
-    this.serving = createServing({
+    this.serving = createGatewayContext({
       host: settings.host,
       zone: settings.zone,
       drainMs: settings.drainMs,
@@ -104,20 +104,20 @@
       codec: platform.codec,
       nodes: () => this.liveNodes,
     });
-    for (const seed of settings.seeds) this.table.seek(seed, performance.now());
-    const link = new StoreLink(log, this.serving.metrics);
+    for (const seed of settings.seeds) this.table.addContact(seed, performance.now());
+    const link = new StoreHealth(log, this.serving.metrics);
     const { store } = platform;
     this.peers = new PeerTask({
       endpoint: settings.peers,
       log,
       table: this.table,
       readUntilMs: () => this.readUntilMs,
-      noteDatagram: () => {
-        this.serving.watermark.noteDatagram();
+      onDatagram: () => {
+        this.serving.watermark.recordDatagram();
       },
       pulse: () => this.pulse(),
-      loads: () => this.serving.loads.news(performance.now()),
-      asked: () => this.asked(),
+      loads: () => this.serving.loads.nextUpdate(performance.now()),
+      demand: () => this.asked(),
       active: () => this.activation.active,
       inUse: () => this.callers.busy > 0,
     });
@@ -129,33 +129,33 @@
       standing: () => this.standing(),
       presenceRevision: () => this.serving.fleet.presenceRevision,
       quarantinePosition: () => this.quarantine.position,
-      readAgeMs: () => this.reading.freshestReadMs,
+      readAgeMs: () => this.reading.freshestReadAgeMs,
       holdsLease: () => this.lease.holding,
-      handOver: () => this.lease.handOver(),
-      listKnown: () => this.member.listKnown,
+      stepDown: () => this.lease.stepDown(),
+      membershipKnown: () => this.member.membershipKnown,
     });
-    this.reading = new ReadingDuty({
+    this.reading = new StoreReaderRole({
       ip: settings.ip,
       table: this.table,
       readUntilMs: () => this.readUntilMs,
       active: () => this.activation.active,
       holdsLease: () => this.lease.holding,
       readAgeMs: () => this.fleet.readAgeMs,
-      heardReadAgeMs: () => this.activation.heardReadAgeMs,
+      reportedReadAgeMs: () => this.activation.reportedReadAgeMs,
     });
     this.lease = new LeaseTask({
       store,
-      link,
+      storeHealth: link,
       log,
       metrics: this.serving.metrics,
       self: settings,
       leaseMs: settings.leaseMs,
       eligible: () => this.activation.active,
-      holderHeard: () => this.table.holder(this.readUntilMs) !== undefined,
-      storeServesPeers: () => this.reading.servedToPeers,
-      tellYield: (message) => {
+      holderAlive: () => this.table.leaseHolder(this.readUntilMs) !== undefined,
+      storeReachableByPeers: () => this.reading.storeReachableByPeers,
+      broadcastYield: (message) => {
         this.peers.notify("lease.yield", message);
-        this.peers.tell();
+        this.peers.sendHeartbeat();
       },
     });
     this.peers.handle("loads", (params) => this.hearLoads(params));
@@ -178,7 +178,7 @@
       log,
       peers: this.table,
       self: memberOf(settings),
-      reads: () => this.reading.due,
+      shouldReadStore: () => this.reading.shouldRead,
     });
     const runLocks = new RunLockTask({
       log,
@@ -194,36 +194,36 @@
       runLocks,
       retryRatio: settings.retryRatio,
       retryBurst: settings.retryBurst,
-      sharers: () => this.table.sharers(this.activation.active, this.readUntilMs),
+      sharers: () => this.table.budgetShare(this.activation.active, this.readUntilMs),
     });
-    const reads = (): boolean => this.reading.due;
-    const ask = (peer: PeerNews, method: string, params: unknown): Promise<unknown> =>
+    const reads = (): boolean => this.reading.shouldRead;
+    const ask = (peer: PeerVersions, method: string, params: unknown): Promise<unknown> =>
       this.calls.call(peer, method, params);
     this.configuration = new ConfigurationTask({
       store,
-      link,
+      storeHealth: link,
       log,
       configuration: this.serving.configuration,
       row: platform.configurationRow,
       decode: platform.decodeConfiguration,
-      reads,
+      shouldReadStore: reads,
       active: () => this.activation.active,
-      ask,
+      callPeer: ask,
     });
     this.fleet = new FleetTask({
       store,
-      link,
-      serving: this.serving,
+      storeHealth: link,
+      context: this.serving,
       table: platform.serversTable,
       decode: platform.decodeServer,
-      reads,
+      shouldReadStore: reads,
       active: () => this.activation.active,
-      servedToPeers: () => this.reading.servedToPeers,
-      ask,
+      storeReachableByPeers: () => this.reading.storeReachableByPeers,
+      callPeer: ask,
       onChange: () => {
-        this.peers.tell();
+        this.peers.sendHeartbeat();
       },
-      tellLeaving: (message) => {
+      broadcastLeaving: (message) => {
         this.peers.notify("server.leaving", message);
       },
     });
@@ -232,9 +232,9 @@
       log,
       metrics: this.serving.metrics,
       quarantine: this.serving.quarantine,
-      reads,
+      shouldReadStore: reads,
       active: () => this.activation.active,
-      ask,
+      callPeer: ask,
     });
     const permits = new PermitTask({
       log,
@@ -251,21 +251,22 @@
       ...this.fleet.handlers,
       ...this.quarantine.handlers,
     });
-    this.peers.heard.on((pulse) => {
+    this.peers.heartbeatReceived.on((pulse) => {
       this.hearEra(pulse);
-      if (pulse.paces !== undefined) this.serving.paces.hear(pulse.ip, pulse.paces);
-      if (pulse.coming !== undefined) this.serving.modelWaits.announce(pulse.coming, performance.now());
-      void this.configuration.hear(pulse);
-      void this.quarantine.hear(pulse);
+      if (pulse.paces !== undefined) this.serving.paces.applyPeerFactors(pulse.ip, pulse.paces);
+      if (pulse.coming !== undefined)
+        this.serving.modelWaits.setAnnouncedLoads(pulse.coming, performance.now());
+      void this.configuration.pullIfNewer(pulse);
+      void this.quarantine.pullIfNewer(pulse);
       // Only those that read the store know of changes first.
       if (pulse.readAgeMs !== undefined)
-        void this.fleet.hear(pulse, this.activation.active ? "all" : "presence");
+        void this.fleet.pullIfNewer(pulse, this.activation.active ? "all" : "presence");
     });
-    this.activation.heard.on((roster) => {
+    this.activation.rosterReceived.on((roster) => {
       this.hearEra(roster);
-      void this.configuration.hear(roster);
-      void this.quarantine.hear(roster);
-      void this.fleet.hear(roster, "presence");
+      void this.configuration.pullIfNewer(roster);
+      void this.quarantine.pullIfNewer(roster);
+      void this.fleet.pullIfNewer(roster, "presence");
     });
     this.supervisor = new Supervisor(
       "gateway",
@@ -281,7 +282,7 @@
           log,
           quarantine: this.serving.quarantine,
           peers: this.peers,
-          decides: () => this.lease.holding,
+          savesEntries: () => this.lease.holding,
         }),
         permits,
         runLocks,
@@ -293,28 +294,28 @@
       ],
       log,
     );
-    this.serving.watermark.turned.on(({ tookMs, endMs }) => {
-      if (this.serving.overload.note(tookMs, endMs)) this.tellOverload();
+    this.serving.watermark.iterationEnded.on(({ tookMs, endMs }) => {
+      if (this.serving.overload.recordTurn(tookMs, endMs)) this.tellOverload();
     });
-    platform.engines.heard.on(({ target: { serverId: id, startedAtMs }, notice }) => {
-      this.serving.notices.hearAside({ id, startedAtMs }, notice, performance.now());
+    platform.engines.noticeReceived.on(({ target: { serverId: id, startedAtMs }, notice }) => {
+      this.serving.notices.recordPartialNotice({ id, startedAtMs }, notice, performance.now());
     });
     store.eras.changed.on(({ from, to }) => {
       this.serving.metrics.storeEra.set(to);
       if (from === undefined) return;
       log.warn({ event: "store-era-changed", from, to });
-      this.peers.tell();
+      this.peers.sendHeartbeat();
     });
     this.lease.changed.on(() => {
-      this.peers.tell();
+      this.peers.sendHeartbeat();
     });
     this.activation.changed.on((active) => {
-      if (active) this.utilization.restart();
+      if (active) this.utilization.reset();
       this.followActivation();
     });
     this.serving.configuration.changed.on((table) => {
       this.serving.metrics.configVersion.set(table.version);
-      this.peers.tell();
+      this.peers.sendHeartbeat();
     });
   }
 
@@ -337,10 +338,10 @@
     log.info({ event: "stopping", inFlight: this.callers.busy });
     this.stopping = true;
     this.callers.stopSoon(latestMs);
-    this.activation.stopSoon();
-    this.peers.tell();
+    this.activation.preventActivation();
+    this.peers.sendHeartbeat();
     await Promise.all([this.lease.release(), this.member.leave()]);
-    this.peers.tell();
+    this.peers.sendHeartbeat();
     for (;;) {
       const now = performance.now();
       if (now >= latestMs || (now - startedMs >= leastDrainMs && this.callers.busy === 0)) break;
@@ -362,8 +363,8 @@
   }
 
   /** A node that the store turns away hears from its peers that the store came back from a copy. */
-  private hearEra({ storeEra }: PeerNews): void {
-    if (storeEra !== undefined) this.options.platform.store.eras.note(storeEra);
+  private hearEra({ storeEra }: PeerVersions): void {
+    if (storeEra !== undefined) this.options.platform.store.eras.observe(storeEra);
   }
 
   private tellOverload(): void {
@@ -393,7 +394,7 @@
 
   /** Everything that arrived before this moment has been read, ms; what others' silence is judged by. */
   private get readUntilMs(): number {
-    return this.serving.watermark.ms;
+    return this.serving.watermark.readUpToMs;
   }
 
   /** Active nodes: this one and the peers heard from lately. */
@@ -426,15 +427,15 @@
 
   /** Addresses of nodes that take callers. */
   private addresses(): string[] {
-    const peers = this.table.alive(this.readUntilMs).map(({ pulse }) => pulse);
+    const peers = this.table.alive(this.readUntilMs).map(({ status: pulse }) => pulse);
     const nodes = peers.filter(({ ready }) => ready);
     if ((this.ready && this.activation.active) || nodes.length === 0) nodes.push(this.standing());
     return chooseAddresses(nodes, Math.random);
   }
 
-  private standing(): Standing {
-    const { settings, busy } = this.options;
-    const token = this.lease.heldToken;
+  private standing(): NodeStatus {
+    const { settings, cpuUtilization: busy } = this.options;
+    const token = this.lease.currentToken;
     const { readAgeMs } = this.fleet;
     const { current: storeEra } = this.options.platform.store.eras;
     return {
@@ -454,13 +455,13 @@
     };
   }
 
-  private pulse(): Pulse {
+  private pulse(): Heartbeat {
     return {
       ...this.standing(),
       active: this.activation.active,
       quarantinePosition: this.quarantine.position,
-      ...(this.lease.heldToken === undefined ? {} : { coming: this.placement.expected() }),
-      paces: this.serving.paces.mine(),
+      ...(this.lease.currentToken === undefined ? {} : { coming: this.placement.expected() }),
+      paces: this.serving.paces.snapshot(),
     };
   }
 
@@ -470,16 +471,16 @@
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .map((message) => {
-        this.serving.loads.learn(message, performance.now());
+        this.serving.loads.applyPeerLoads(message, performance.now());
         return true;
       })
       .orDefault(false);
   }
 
-  private asked(): Asked {
+  private asked(): CallerDemand {
     const now = performance.now();
     const running = Object.fromEntries(
-      Object.keys(this.serving.adaptersRunning.all()).map((key) => [key, negligible]),
+      Object.keys(this.serving.adaptersRunning.all()).map((key) => [key, negligibleDemand]),
     );
     return {
       demand: this.serving.demand.levels(now),
--- a/src/gateway/leaseTask.ts
+++ b/src/gateway/leaseTask.ts
@@ -4,24 +4,24 @@
 import { Emitter } from "../common/emitter.ts";
 import type { Log } from "../common/log.ts";
 import { PeriodicTask } from "../common/supervisor.ts";
-import { ClockWatch, readClocks } from "../serving/clockWatch.ts";
+import { ClockJumpDetector, readClocks } from "../serving/clockJumpDetector.ts";
 import {
-  distanceMs,
-  isOfEra,
-  isSame,
+  handoverDelayMs,
+  isFromEra,
+  isSameHost,
   LeaseRow,
   leaseRenewMs,
   leaseTtlMs,
   nextToken,
   StoreClock,
-  waitToTake,
-  Yield,
-  type Candidate,
+  takeoverDelayMs,
+  LeaseYield,
+  type LeaseCandidate,
 } from "../serving/leaseRules.ts";
 import type { RowSet, Store } from "../serving/store.ts";
 import { absentAt, formatPosition, type StorePosition } from "../serving/storePosition.ts";
 import type { GatewayMetrics } from "./gatewayMetrics.ts";
-import type { StoreLink } from "./storeLink.ts";
+import type { StoreHealth } from "./storeHealth.ts";
 
 const table = "parsleynotch";
 const key = "placement";
@@ -39,20 +39,20 @@
 /** Options of a `LeaseTask`. */
 export interface LeaseTaskOptions {
   readonly store: Store;
-  readonly link: StoreLink;
+  readonly storeHealth: StoreHealth;
   readonly log: Log;
   readonly metrics: GatewayMetrics;
-  readonly self: Candidate;
+  readonly self: LeaseCandidate;
   /** The bound on two holders taking turns, ms. */
   readonly leaseMs: number;
   /** May this node hold the lease? One that stands by leaves it to active ones. */
   readonly eligible: () => boolean;
   /** Is a holder's pulse heard? */
-  readonly holderHeard: () => boolean;
+  readonly holderAlive: () => boolean;
   /** Does the store answer any peer? */
-  readonly storeServesPeers: () => boolean;
+  readonly storeReachableByPeers: () => boolean;
   /** Tells all peers. */
-  readonly tellYield: (message: Yield) => void;
+  readonly broadcastYield: (message: LeaseYield) => void;
 }
 
 interface ReadRow {
@@ -73,7 +73,7 @@
   readonly changed = new Emitter<boolean>();
   private held: Held | undefined;
   private readonly clock = new StoreClock();
-  private readonly clocks = new ClockWatch();
+  private readonly clocks = new ClockJumpDetector();
   /** The row as it was read or written last, if there is one; undefined while it isn't known. */
   private lastRead: ReadRow | undefined;
   /** Since when the row has been known to be as it is, ms. */
@@ -89,7 +89,7 @@
   /** Until when an engine is closed to this node, as another holder ordered it lately. */
   private closedUntil = new Map<string, number>();
   /** The last yield heard, and when. */
-  private yielded: { readonly message: Yield; readonly atMs: number } | undefined;
+  private yielded: { readonly message: LeaseYield; readonly atMs: number } | undefined;
   private stopping = false;
   /** The lease is being given up: no order is sent any more. */
   private handingOver = false;
@@ -103,7 +103,7 @@
   }
 
   /** The fencing token, while an order may be sent to the engine right now. */
-  token(serverId: string): number | undefined {
+  tokenForOrder(serverId: string): number | undefined {
     this.checkClocks();
     const now = performance.now();
     if (this.held === undefined || !this.holding || !this.mayOrder(serverId)) return undefined;
@@ -118,7 +118,7 @@
 
   /** A holder gives up a lease that it can't renew: no need to wait until it runs out. */
   onYield(params: unknown): boolean {
-    return decodeEither(Yield, params)
+    return decodeEither(LeaseYield, params)
       .ifLeft((failure) => this.options.log.warn({ event: "peer-message-rejected", detail: failure.message }))
       .map((message) => {
         this.yielded = { message, atMs: performance.now() };
@@ -136,18 +136,18 @@
   }
 
   /** The token while held, to tell peers. */
-  get heldToken(): number | undefined {
+  get currentToken(): number | undefined {
     return this.holding ? this.held?.token : undefined;
   }
 
   /** Stops ordering for good and lets a successor in as early as the bound allows. */
   async release(): Promise<void> {
     this.stopping = true;
-    await this.handOver();
+    await this.stepDown();
   }
 
   /** Stops ordering and lets a successor in as early as the bound allows. */
-  async handOver(): Promise<void> {
+  async stepDown(): Promise<void> {
     if (this.held === undefined || this.handingOver) return;
     this.handingOver = true;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
@@ -186,7 +186,7 @@
   private async renew(now: number): Promise<void> {
     if (this.held === undefined || this.lastRead === undefined) return;
     const { value, position } = this.lastRead;
-    if (!isOfEra(value, position.era)) await this.write(this.lastRead, nextToken(value, position.era));
+    if (!isFromEra(value, position.era)) await this.write(this.lastRead, nextToken(value, position.era));
     else if (now - this.renewedMs >= leaseRenewMs) await this.write(this.lastRead, this.held.token);
   }
 
@@ -205,7 +205,7 @@
    * out meanwhile, as its steady clock stood still too. The time of day shows it, and the lease is dropped.
    */
   private checkClocks(): void {
-    if (!this.clocks.frozeSince(readClocks())) return;
+    if (!this.clocks.detectJump(readClocks())) return;
     this.lastRead = undefined;
     this.nextLookMs = 0;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
@@ -219,12 +219,12 @@
   private async lookAtStart(): Promise<void> {
     this.lookedAtStart = true;
     const found = await this.look();
-    if (found?.value === undefined || !isSame(found.value, this.options.self)) return;
-    if (isOfEra(found.value, found.position.era)) this.unheardSinceMs = Number.NEGATIVE_INFINITY;
+    if (found?.value === undefined || !isSameHost(found.value, this.options.self)) return;
+    if (isFromEra(found.value, found.position.era)) this.unheardSinceMs = Number.NEGATIVE_INFINITY;
   }
 
   private async maybeTake(now: number): Promise<void> {
-    if (!this.options.eligible() || this.options.holderHeard()) {
+    if (!this.options.eligible() || this.options.holderAlive()) {
       this.unheardSinceMs = undefined;
       return;
     }
@@ -243,7 +243,7 @@
 
   /** Did the holder that the row names give the lease up? A row of an earlier era may not name the last one. */
   private isYielded({ position: { era }, value }: ReadRow): boolean {
-    return value !== undefined && isOfEra(value, era) && this.yielded?.message.token === value.token;
+    return value !== undefined && isFromEra(value, era) && this.yielded?.message.token === value.token;
   }
 
   private waitFor({ position: { era }, value }: ReadRow): number {
@@ -256,7 +256,7 @@
       heldLast: now < this.heldLastUntilMs,
       storeNowMs: this.clock.at(now),
     };
-    return waitToTake(view, this.options.self, this.options.leaseMs);
+    return takeoverDelayMs(view, this.options.self, this.options.leaseMs);
   }
 
   /** Reads the row; undefined if the store doesn't answer, whatever was read before. */
@@ -272,8 +272,8 @@
   }
 
   private learn(set: RowSet, sentMs: number): void {
-    this.options.link.succeeded();
-    this.clock.learn(set.nowMs, sentMs);
+    this.options.storeHealth.succeeded();
+    this.clock.update(set.nowMs, sentMs);
     const found = set.rows.find((row) => row.key === key);
     this.noteChange(found?.position ?? absentAt(set.position));
     if (found === undefined) {
@@ -312,10 +312,10 @@
       const receipt = await store.commit([{ table, key, value: JSON.stringify(value), expected: position }], {
         timeoutMs: writeTimeoutMs,
       });
-      this.options.link.succeeded();
-      this.clock.learn(receipt.nowMs, sentMs);
+      this.options.storeHealth.succeeded();
+      this.clock.update(receipt.nowMs, sentMs);
       this.lastRead = { position: receipt.position, value };
-      if (this.clocks.frozeSince(readClocks())) {
+      if (this.clocks.detectJump(readClocks())) {
         this.lose("host stood still");
         return;
       }
@@ -337,15 +337,15 @@
       return;
     }
     const { value, position } = found;
-    if (!isOfEra(value, position.era)) return;
-    if (value !== undefined && isSame(value, this.options.self)) return;
+    if (!isFromEra(value, position.era)) return;
+    if (value !== undefined && isSameHost(value, this.options.self)) return;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
     this.lose("taken by another node");
   }
 
   /** The store answers others, so one of them can take over. */
   private giveWayToServed(): void {
-    if (this.options.storeServesPeers()) this.giveWay();
+    if (this.options.storeReachableByPeers()) this.giveWay();
   }
 
   /** Gives the lease up without the store: a peer that reaches it can take over at once. */
@@ -358,7 +358,7 @@
     const orderedAgoMs = Object.fromEntries(
       [...this.lastOrders()].map(([id, ms]) => [id, Math.floor(now - ms)]),
     );
-    this.options.tellYield({ token, orderedAgoMs });
+    this.options.broadcastYield({ token, orderedAgoMs });
   }
 
   /**
@@ -366,7 +366,7 @@
    * too closely": the second may give up before it has ordered an engine that the first had just ordered.
    */
   private lastOrders(): Map<string, number> {
-    const distance = distanceMs(this.options.leaseMs);
+    const distance = handoverDelayMs(this.options.leaseMs);
     const orders = new Map([...this.closedUntil].map(([id, untilMs]) => [id, untilMs - distance]));
     for (const [id, ms] of this.ordered) orders.set(id, Math.max(ms, orders.get(id) ?? ms));
     return orders;
@@ -375,11 +375,11 @@
   /** What earlier holders ordered lately closes those engines for a while. */
   private inherit(previous: LeaseRow | undefined): void {
     const now = performance.now();
-    const distance = distanceMs(this.options.leaseMs);
-    if (previous === undefined || isSame(previous, this.options.self)) return;
+    const distance = handoverDelayMs(this.options.leaseMs);
+    if (previous === undefined || isSameHost(previous, this.options.self)) return;
     this.closedUntil = new Map();
     for (const [id, storeMs] of Object.entries(previous.ordered ?? {})) {
-      this.closedUntil.set(id, this.clock.steadyAt(storeMs) + distance);
+      this.closedUntil.set(id, this.clock.monotonicAt(storeMs) + distance);
     }
     if (this.yielded?.message.token !== previous.token) return;
     const { message, atMs } = this.yielded;
@@ -391,7 +391,7 @@
   private hold(held: Held, previous: LeaseRow | undefined, era: number): void {
     const before = this.held;
     this.held = held;
-    this.heldLastUntilMs = held.untilMs + distanceMs(this.options.leaseMs);
+    this.heldLastUntilMs = held.untilMs + handoverDelayMs(this.options.leaseMs);
     if (before?.token === held.token) return;
     this.options.log.info({ event: "lease-taken", token: held.token, era, before: before?.token });
     if (before !== undefined) return;
@@ -412,7 +412,7 @@
   private failed(error: unknown): string {
     const failure = toFailure(error);
     if (failure.kind === "platform-unavailable" || failure.kind === "outcome-unknown")
-      this.options.link.failed(failure);
+      this.options.storeHealth.failed(failure);
     return failure.kind;
   }
 }
--- a/src/gateway/memberTask.ts
+++ b/src/gateway/memberTask.ts
@@ -29,7 +29,7 @@
   readonly peers: PeerTable;
   readonly self: Member;
   /** Is it on this node to read the store for all? */
-  readonly reads: () => boolean;
+  readonly shouldReadStore: () => boolean;
 }
 
 /**
@@ -54,7 +54,7 @@
   }
 
   /** Are the other nodes known, or is the store out of reach for so long that this one decides without? */
-  get listKnown(): boolean {
+  get membershipKnown(): boolean {
     return this.listed || performance.now() - this.startedMs > unlistedMs;
   }
 
@@ -80,11 +80,11 @@
 
   /** Writes the rows of nodes that a copy of the store lacks, for all nodes. */
   private async restore(): Promise<void> {
-    const { store, peers, log, reads } = this.options;
+    const { store, peers, log, shouldReadStore: reads } = this.options;
     if (performance.now() < this.restoreAtMs) return;
     if (reads()) {
       const present = new Set((await store.list(table)).rows.map(({ key }) => key));
-      const lost = peers.members(this.options.self).filter(({ ip }) => !present.has(ip));
+      const lost = peers.memberRows(this.options.self).filter(({ ip }) => !present.has(ip));
       for (let i = 0; i < lost.length; i += mostRows)
         await store.commit(lost.slice(i, i + mostRows).map((member) => rowOf(member)));
       log.info({ event: "members-restored", nodes: lost.length });
@@ -108,7 +108,7 @@
         .map((member) => [member])
         .orDefault([]),
     );
-    peers.list(members, performance.now());
+    peers.addListedNodes(members, performance.now());
     log.info({ event: "member-entered", nodes: rows.length });
   }
 }
--- a/src/gateway/peerCalls.ts
+++ b/src/gateway/peerCalls.ts
@@ -14,7 +14,7 @@
 const callTimeoutMs = 500;
 
 /** What a peer's message says of how much it knows. */
-export interface PeerNews extends PeerAddress {
+export interface PeerVersions extends PeerAddress {
   readonly host: string;
   readonly boot: number;
   /** Of its configuration. */
--- a/src/gateway/peerTask.ts
+++ b/src/gateway/peerTask.ts
@@ -6,12 +6,17 @@
 import * as rpc from "json-rpc-2.0";
 import { Emitter } from "../common/emitter.ts";
 import { decodeEither } from "../common/decode.ts";
-import { inputRead } from "../common/readWatermark.ts";
+import { waitForPendingInput } from "../common/readWatermark.ts";
 import type { Log } from "../common/log.ts";
 import type { Task } from "../common/supervisor.ts";
 import type { Endpoint } from "../serving/hostSettings.ts";
-import type { LoadsMessage } from "../serving/loadBoard.ts";
-import { Pulse, type Asked, type PeerAddress, type PeerTable } from "../serving/membership/peerTable.ts";
+import type { LoadsMessage } from "../serving/loadTracker.ts";
+import {
+  Heartbeat,
+  type CallerDemand,
+  type PeerAddress,
+  type PeerTable,
+} from "../serving/membership/peerTable.ts";
 
 /** Period of pulses, ms. */
 const pulseMs = 300;
@@ -42,13 +47,13 @@
   /** Everything that arrived before this moment has been read, ms: a peer is silent as of then, not as of now. */
   readonly readUntilMs: () => number;
   /** A datagram was read. */
-  readonly noteDatagram: () => void;
+  readonly onDatagram: () => void;
   /** What to tell peers now. */
-  readonly pulse: () => Pulse;
+  readonly pulse: () => Heartbeat;
   /** Work in flight of this node that peers don't know. */
   readonly loads: () => Pick<LoadsMessage, "loads" | "whole"> | undefined;
   /** What to tell the holder of the placement lease besides. */
-  readonly asked: () => Asked;
+  readonly demand: () => CallerDemand;
   /** Does this node take callers, rather than stand by? */
   readonly active: () => boolean;
   /** Was anything asked of this node lately? */
@@ -59,7 +64,7 @@
 export class PeerTask implements Task {
   readonly name = "peers";
   /** A pulse of a peer, newer than the last. */
-  readonly heard = new Emitter<Pulse>();
+  readonly heartbeatReceived = new Emitter<Heartbeat>();
   private readonly socket = dgram.createSocket("udp4");
   // Failures are answered to the peer, which logs them; the library's own console output is off.
   private readonly server = new rpc.JSONRPCServer({ errorListener: () => undefined });
@@ -85,7 +90,7 @@
 
   async start(): Promise<void> {
     this.socket.on("message", (message, from) => {
-      this.options.noteDatagram();
+      this.options.onDatagram();
       void this.receive(message, { ip: from.address, port: from.port });
     });
     this.socket.on("error", (error) => {
@@ -95,7 +100,7 @@
     await new Promise<void>((resolve) => {
       this.socket.bind(port, ip, resolve);
     });
-    this.tell();
+    this.sendHeartbeat();
     this.schedule();
   }
 
@@ -103,7 +108,7 @@
    * Sends a pulse now, as something changed that peers should know. A node that stands by tells only the holder of the
    * placement lease, and only while callers use it.
    */
-  tell(): void {
+  sendHeartbeat(): void {
     this.rounds += 1;
     if (this.options.active()) this.tellPeers(this.rounds % everyoneEvery === 1);
     else if (this.options.inUse()) this.tellHolder();
@@ -122,7 +127,8 @@
   /** Tells every live peer; nothing comes back. */
   notify(method: string, params: unknown): void {
     const bytes = notification(method, params);
-    for (const peer of this.options.table.audience(this.options.readUntilMs(), false)) this.send(bytes, peer);
+    for (const peer of this.options.table.recipients(this.options.readUntilMs(), false))
+      this.send(bytes, peer);
   }
 
   /** Pulses at their period, and loads between them. */
@@ -132,7 +138,7 @@
     this.timer = setTimeout(
       () => {
         const pulseIsDue = performance.now() - this.toldMs >= pulseMs - periodMs / 2;
-        if (pulseIsDue) this.tell();
+        if (pulseIsDue) this.sendHeartbeat();
         this.tellLoads();
         this.schedule();
       },
@@ -142,21 +148,21 @@
 
   private tellPeers(everyone: boolean): void {
     this.toldMs = performance.now();
-    const { table, pulse, asked, readUntilMs } = this.options;
+    const { table, pulse, demand: asked, readUntilMs } = this.options;
     const readMs = readUntilMs();
     const told = pulse();
     const bytes = notification("pulse", told);
-    const holder = table.holder(readMs);
-    for (const peer of table.audience(readMs, everyone)) {
+    const holder = table.leaseHolder(readMs);
+    for (const peer of table.recipients(readMs, everyone)) {
       const toHolder = peer.ip === holder?.ip;
       this.send(toHolder ? notification("pulse", { ...told, asked: asked() }) : bytes, peer);
     }
   }
 
   private tellHolder(): void {
-    const holder = this.options.table.holder(this.options.readUntilMs());
+    const holder = this.options.table.leaseHolder(this.options.readUntilMs());
     if (holder !== undefined)
-      this.tellOne("pulse", { ...this.options.pulse(), asked: this.options.asked() }, holder);
+      this.tellOne("pulse", { ...this.options.pulse(), asked: this.options.demand() }, holder);
   }
 
   /** Says what is in flight here, where it changed. */
@@ -181,7 +187,7 @@
         left -= 1;
         this.send(bytes, peer);
         // The answer may be there and not yet read.
-        timer = setTimeout(() => void inputRead().then(again), resendMs);
+        timer = setTimeout(() => void waitForPendingInput().then(again), resendMs);
       };
       const again = (): void => {
         if (this.pending.has(id)) attempt();
@@ -248,12 +254,12 @@
   }
 
   private takePulse(params: unknown): void {
-    decodeEither(Pulse, params)
+    decodeEither(Heartbeat, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight((pulse) => {
-        if (this.options.table.hear(pulse, performance.now())) this.heard.fire(pulse);
+        if (this.options.table.recordHeartbeat(pulse, performance.now())) this.heartbeatReceived.fire(pulse);
       });
   }
 }
--- a/src/gateway/permitTask.ts
+++ b/src/gateway/permitTask.ts
@@ -5,9 +5,9 @@
 import type { Log } from "../common/log.ts";
 import type { Task } from "../common/supervisor.ts";
 import type { PeerAddress } from "../serving/membership/peerTable.ts";
-import { PermitAsk, type PermitIssuer } from "../serving/permits/permitIssuer.ts";
+import { PermitRequest, type PermitIssuer } from "../serving/permits/permitIssuer.ts";
 import type { Permits } from "../serving/permits/permits.ts";
-import { LimitWord, type ServerNotices } from "../serving/serverNotices.ts";
+import { ObservedRateLimit, type ServerNotices } from "../serving/serverNotices.ts";
 import type { PeerTask } from "./peerTask.ts";
 
 /** Wants that change within this time are told together, ms. */
@@ -22,7 +22,7 @@
 const AsksMessage = Schema.Struct({
   ip: Schema.String,
   port: Schema.Number,
-  asks: Schema.Array(PermitAsk),
+  asks: Schema.Array(PermitRequest),
 });
 
 const PermitsMessage = Schema.Struct({
@@ -30,7 +30,7 @@
   permits: Schema.Number,
   /** Requests that wait for the server on all nodes. */
   backlog: Schema.Number,
-  limit: LimitWord,
+  limit: ObservedRateLimit,
 });
 type PermitsMessage = typeof PermitsMessage.Type;
 
@@ -61,7 +61,7 @@
   private stopped = false;
 
   constructor(private readonly options: PermitTaskOptions) {
-    options.permits.wanted.on(() => {
+    options.permits.demandChanged.on(() => {
       this.askSoon();
     });
     options.peers.handle("permits.ask", (params) => {
@@ -100,7 +100,7 @@
   private ask(): void {
     this.asksSoon = false;
     const { permits, peers, self } = this.options;
-    const asks = permits.asks(performance.now());
+    const asks = permits.collectRequests(performance.now());
     if (asks.length === 0) return;
     this.askedMs = performance.now();
     for (const { issuer, theirs } of this.byIssuer(asks)) {
@@ -110,8 +110,8 @@
     this.askAfter(askAgainMs);
   }
 
-  private byIssuer(asks: readonly PermitAsk[]): { issuer: PeerAddress; theirs: PermitAsk[] }[] {
-    const grouped = new Map<string, { issuer: PeerAddress; theirs: PermitAsk[] }>();
+  private byIssuer(asks: readonly PermitRequest[]): { issuer: PeerAddress; theirs: PermitRequest[] }[] {
+    const grouped = new Map<string, { issuer: PeerAddress; theirs: PermitRequest[] }>();
     for (const ask of asks) {
       const issuer = this.options.ownerOf(ask.server);
       const group = grouped.get(issuer.ip) ?? { issuer, theirs: [] };
@@ -131,15 +131,15 @@
       });
   }
 
-  private hear(node: PeerAddress, asks: readonly PermitAsk[]): void {
+  private hear(node: PeerAddress, asks: readonly PermitRequest[]): void {
     const now = performance.now();
     const { notices } = this.options;
     this.addresses.set(node.ip, node);
     for (const ask of asks) {
-      notices.learnLimit(ask.server, ask.limit, now);
-      const perS = notices.limitWord(ask.server, now)?.perS;
+      notices.applyPeerLimit(ask.server, ask.limit, now);
+      const perS = notices.observedLimit(ask.server, now)?.perS;
       // Where this node knows better that the limit was lifted, the answer says so.
-      if (perS !== undefined) this.options.issuer.hear(node.ip, ask, perS, now);
+      if (perS !== undefined) this.options.issuer.recordRequest(node.ip, ask, perS, now);
       const told = this.issue(ask.server);
       if (!told.has(node.ip)) this.tell(node, ask.server, 0);
     }
@@ -158,7 +158,7 @@
 
   private tell(node: PeerAddress, server: string, permits: number): void {
     const now = performance.now();
-    const limit = this.options.notices.limitWord(server, now);
+    const limit = this.options.notices.observedLimit(server, now);
     if (limit === undefined) return;
     const message = { server, permits, backlog: this.options.issuer.backlog(server, now), limit };
     if (node.ip === this.options.self.ip) this.take(message);
@@ -169,11 +169,11 @@
   private schedule(): void {
     clearTimeout(this.issueTimer);
     const now = performance.now();
-    const asked = this.options.issuer.asked(now);
+    const asked = this.options.issuer.requestedServers(now);
     if (asked.length === 0) return;
-    const dueMs = Math.min(...asked.map((server) => this.options.issuer.dueMs(server, now)));
+    const dueMs = Math.min(...asked.map((server) => this.options.issuer.nextPermitMs(server, now)));
     this.issueTimer = this.later(Math.max(leastDueMs, dueMs), () => {
-      for (const server of this.options.issuer.asked(performance.now())) this.issue(server);
+      for (const server of this.options.issuer.requestedServers(performance.now())) this.issue(server);
       this.schedule();
     });
   }
@@ -191,8 +191,8 @@
   private take({ server, permits, backlog, limit }: PermitsMessage): void {
     const now = performance.now();
     const { notices, granted } = this.options;
-    const wasLifted = notices.learnLimit(server, limit, now) && limit.perS === undefined;
-    this.options.permits.take(server, permits, backlog, now);
+    const wasLifted = notices.applyPeerLimit(server, limit, now) && limit.perS === undefined;
+    this.options.permits.addGranted(server, permits, backlog, now);
     if (permits > 0 || wasLifted) granted.fire(undefined);
   }
 
--- a/src/gateway/placementTask.ts
+++ b/src/gateway/placementTask.ts
@@ -5,20 +5,20 @@
 import { PeriodicTask } from "../common/supervisor.ts";
 import { planAdapter, type AdapterEngine, type AdapterMove } from "../serving/adapterPlan.ts";
 import { holds, type BackendServer } from "../serving/backendServer.ts";
-import type { EraWatch } from "../serving/eraWatch.ts";
+import type { EraTracker } from "../serving/eraTracker.ts";
 import type { EngineLimits, Model } from "../serving/configuration.ts";
-import type { Residency } from "../serving/fleet.ts";
-import { LoadCeiling } from "../serving/loadCeiling.ts";
-import { loadMs } from "../serving/modelWait.ts";
-import type { Engines } from "../serving/orders.ts";
+import type { ResidencyChange } from "../serving/fleet.ts";
+import { LoadRateLimiter } from "../serving/loadRateLimiter.ts";
+import { expectedLoadMs } from "../serving/modelWaitEstimator.ts";
+import type { EngineApi } from "../serving/orders.ts";
 import type { PeerTable } from "../serving/membership/peerTable.ts";
 import { PlacementPlan } from "../serving/placementPlan.ts";
 import type { EngineView, Move } from "../serving/placementView.ts";
 import { DemandBook } from "./demandBook.ts";
-import { EngineDesk, type DeskOutcome } from "./engineDesk.ts";
+import { EngineController, type DeskOutcome } from "./engineController.ts";
 import type { LeaseTask } from "./leaseTask.ts";
 import type { PeerTask } from "./peerTask.ts";
-import { adapterKey, demandKey, type Placer, type Serving } from "./serving.ts";
+import { adapterKey, demandKey, type Placer, type GatewayContext } from "./gatewayContext.ts";
 
 /** Period of placement rounds, ms. */
 const roundMs = 250;
@@ -56,10 +56,10 @@
 
 /** Options of a `PlacementTask`. */
 export interface PlacementTaskOptions {
-  readonly serving: Serving;
-  readonly engines: Engines;
+  readonly serving: GatewayContext;
+  readonly engines: EngineApi;
   readonly lease: LeaseTask;
-  readonly eras: EraWatch;
+  readonly eras: EraTracker;
   readonly peers: PeerTask;
   readonly table: PeerTable;
   readonly ceilingWindowMs: number;
@@ -67,23 +67,26 @@
 }
 
 /** What an order changes at an engine. */
-type OrderEffect = Pick<Residency, "model" | "adapter" | "present">;
+type OrderEffect = Pick<ResidencyChange, "model" | "adapter" | "present">;
 
 /** Owns the desks of the engines, and asks the holder where this node is not it. */
 export class PlacementTask extends PeriodicTask implements Placer {
-  private readonly desks = new Map<string, EngineDesk>();
+  private readonly desks = new Map<string, EngineController>();
   private readonly demand: DemandBook;
   private readonly ensuring = new Map<string, Promise<void>>();
-  private readonly ceiling: LoadCeiling;
+  private readonly ceiling: LoadRateLimiter;
   private readonly startedMs = performance.now();
   private readonly log: Log;
 
   constructor(private readonly options: PlacementTaskOptions) {
     super("placement", roundMs, options.serving.log);
     this.log = options.serving.log;
-    this.ceiling = new LoadCeiling({ windowMs: options.ceilingWindowMs, overage: options.ceilingOverage });
+    this.ceiling = new LoadRateLimiter({
+      windowMs: options.ceilingWindowMs,
+      overage: options.ceilingOverage,
+    });
     this.demand = new DemandBook(options.serving, options.table);
-    options.peers.heard.on((pulse) => {
+    options.peers.heartbeatReceived.on((pulse) => {
       this.demand.hear(pulse);
     });
     options.peers.handle("adapter.ensure", (params) => this.onEnsure(params));
@@ -100,7 +103,7 @@
 
   wanted(): void {
     if (this.options.lease.holding) void this.refresh();
-    else this.options.peers.tell();
+    else this.options.peers.sendHeartbeat();
   }
 
   async ensureAdapter(service: string, model: string, adapter: string): Promise<void> {
@@ -116,7 +119,7 @@
     const table = this.options.serving.configuration.current;
     if (table === undefined) return;
     this.learnDesks();
-    this.options.serving.modelWaits.announce(this.expected(), performance.now());
+    this.options.serving.modelWaits.setAnnouncedLoads(this.expected(), performance.now());
     await this.verifyDesks();
     if (!this.demand.known) return;
     for (const service of table.configuration.services) {
@@ -141,7 +144,7 @@
   }
 
   /** Takes the engine no order now? */
-  private closed(desk: EngineDesk): boolean {
+  private closed(desk: EngineController): boolean {
     return desk.resting || !desk.verified || !this.options.lease.mayOrder(desk.server.id);
   }
 
@@ -155,16 +158,16 @@
     await Promise.race([Promise.all(asks), new Promise((resolve) => setTimeout(resolve, roundMs / 2))]);
   }
 
-  private desk(server: BackendServer): EngineDesk {
+  private desk(server: BackendServer): EngineController {
     const known = this.desks.get(server.id);
     if (known !== undefined) return known;
     const { engines, lease, serving } = this.options;
-    const desk = new EngineDesk(server, {
+    const desk = new EngineController(server, {
       engines,
       log: this.log,
       metrics: serving.metrics,
       holder: serving.host,
-      token: (serverId) => lease.token(serverId),
+      token: (serverId) => lease.tokenForOrder(serverId),
     });
     this.desks.set(server.id, desk);
     return desk;
@@ -184,7 +187,7 @@
       demand: this.demand.of(service, limits, now),
       adapterSlots: limits.adapterSlots,
       mayEvict: now - this.startedMs > settleMs,
-      loadsLeft: this.ceiling.left(limits.loadsPerS, now),
+      loadsLeft: this.ceiling.remaining(limits.loadsPerS, now),
     });
     const byId = new Map(servers.map((server) => [server.id, server]));
     let sliceMs = performance.now();
@@ -226,17 +229,17 @@
       id: server.id,
       models: new Set(desk.staying),
       running,
-      roomFor: desk.roomFor,
-      unsettled: desk.unsettled,
-      coming: new Set(desk.coming.keys()),
+      reservedFor: desk.roomFor,
+      recentlyChanged: desk.unsettled,
+      pendingLoads: new Set(desk.coming.keys()),
       freeMb: this.freeMb(desk, limits),
       busy: desk.busy || this.closed(desk),
-      atHand: new Set(server.atHand),
+      cachedModels: new Set(server.atHand),
     };
   }
 
   /** Memory left if every load under way succeeds and no unload has, MB. */
-  private freeMb(desk: EngineDesk, limits: EngineLimits): number {
+  private freeMb(desk: EngineController, limits: EngineLimits): number {
     let usedMb = 0;
     for (const name of desk.occupying) usedMb += modelOf(limits, name)?.sizeMb ?? 0;
     for (const name of desk.adapters) usedMb += modelOf(limits, name.split("/")[0] ?? "")?.adapterMb ?? 0;
@@ -246,7 +249,7 @@
   private async give(server: BackendServer, move: Move): Promise<void> {
     const fromStore = move.action === "load" && !server.atHand.includes(move.model);
     // Counted before it is sent: an order without an answer may still begin a load.
-    if (fromStore) this.ceiling.begin(performance.now());
+    if (fromStore) this.ceiling.record(performance.now());
     const desk = this.desk(server);
     const { action, model, reason, inFavourOf, demandMs, copies } = move;
     if (inFavourOf !== undefined) desk.keepRoom(inFavourOf);
@@ -260,7 +263,7 @@
   /** An engine that crashed is left alone at once, not only when its registration lapses seconds later. */
   private noteGone(server: BackendServer, outcome: DeskOutcome): void {
     if (outcome !== "wrong-server" && outcome !== "unreachable") return;
-    this.options.serving.outliers.unreachable(server.id, performance.now());
+    this.options.serving.outliers.recordUnreachable(server.id, performance.now());
   }
 
   private async lookIntoOverdue(models: readonly { name: string; loadS: number }[]): Promise<void> {
@@ -278,7 +281,7 @@
     }
   }
 
-  private askDesk(desk: EngineDesk): Promise<void> {
+  private askDesk(desk: EngineController): Promise<void> {
     return desk.ask().catch((error: unknown) => {
       this.log.debug({ event: "report-failed", server: desk.server.id, detail: String(error) });
     });
@@ -293,7 +296,7 @@
     for (const { server, coming } of this.desks.values()) {
       const models = table.service(server.service)?.engine?.models ?? [];
       for (const [name, { sinceMs }] of coming) {
-        const usualMs = loadMs(models.find((model) => model.name === name)?.loadS ?? 0, server, name);
+        const usualMs = expectedLoadMs(models.find((model) => model.name === name)?.loadS ?? 0, server, name);
         const key = demandKey(server.service, name);
         const leftMs = Math.round(Math.max(0, sinceMs + usualMs - now));
         due[key] = Math.min(due[key] ?? leftMs, leftMs);
@@ -307,7 +310,7 @@
       await this.orderAdapter(service, model, adapter);
       return;
     }
-    const holder = this.options.table.holder(this.options.serving.watermark.ms);
+    const holder = this.options.table.leaseHolder(this.options.serving.watermark.readUpToMs);
     if (holder === undefined) {
       await new Promise((resolve) => setTimeout(resolve, askAgainMs));
       return;
@@ -328,7 +331,7 @@
   }
 
   /** A peer asks for an adapter; answers where it is, or null. */
-  private async onEnsure(params: unknown): Promise<Residency | null> {
+  private async onEnsure(params: unknown): Promise<ResidencyChange | null> {
     const { service, model, adapter } = Schema.decodeUnknownSync(EnsureParams)(params);
     if (!this.options.lease.holding) return null;
     await this.ensureAdapter(service, model, adapter);
@@ -343,7 +346,7 @@
         this.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .map((change) => {
-        this.options.serving.fleet.apply(change, performance.now());
+        this.options.serving.fleet.applyChange(change, performance.now());
         this.options.serving.fleetChanged.fire(undefined);
         return true;
       })
@@ -420,7 +423,7 @@
 
   private adapterEngine(server: BackendServer, now: number): AdapterEngine {
     const { serving } = this.options;
-    const load = serving.loads.at(server.id, now);
+    const load = serving.loads.loadOf(server.id, now);
     const desk = this.desk(server);
     return {
       id: server.id,
@@ -435,7 +438,7 @@
   /** Takes a change of an engine's memory here and tells the peers. */
   private announce(server: BackendServer, effect: OrderEffect): void {
     const change = residencyOf(server, effect);
-    this.options.serving.fleet.apply(change, performance.now());
+    this.options.serving.fleet.applyChange(change, performance.now());
     this.options.serving.fleetChanged.fire(undefined);
     this.options.peers.notify("residency", change);
   }
@@ -445,6 +448,6 @@
   return models.find((model) => model.name === name);
 }
 
-function residencyOf({ id, startedAtMs }: BackendServer, effect: OrderEffect): Residency {
+function residencyOf({ id, startedAtMs }: BackendServer, effect: OrderEffect): ResidencyChange {
   return { serverId: id, ...(startedAtMs === undefined ? {} : { startedAtMs }), ...effect };
 }
--- a/src/gateway/quarantineCheck.ts
+++ b/src/gateway/quarantineCheck.ts
@@ -1,11 +1,11 @@
 /** One request as the quarantine sees it: whether it may be sent, and what its sends show of it and of their servers. */
 import type * as http from "node:http";
 import { incarnationOf, type BackendServer } from "../serving/backendServer.ts";
-import type { RequestFacts } from "../serving/exchange.ts";
+import type { RequestMetadata } from "../serving/exchange.ts";
 import { fingerprintOf } from "../serving/quarantine/fingerprint.ts";
 import type { AttemptOutcome } from "./attempt.ts";
 import { serverErrorStatus } from "./sendRecord.ts";
-import type { Serving } from "./serving.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { RunLock, RunLockTask } from "./runLockTask.ts";
 
 /** Requests with a longer body are identified only once there is a suspicion, bytes. */
@@ -16,10 +16,10 @@
 
 /** What the check works with. */
 export interface QuarantineCheckOptions {
-  readonly serving: Serving;
+  readonly serving: GatewayContext;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly req: http.IncomingMessage;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly body: Buffer | undefined;
 }
 
@@ -35,14 +35,14 @@
   get leftMs(): number {
     const { quarantine } = this.options.serving;
     // Skips hashing the body while nothing is quarantined.
-    return quarantine.holds.size === 0 ? 0 : quarantine.leftMs(this.fingerprint, performance.now());
+    return quarantine.entries.size === 0 ? 0 : quarantine.remainingMs(this.fingerprint, performance.now());
   }
 
   /** May this copy run now? Of a suspected request one copy runs at a time, over all nodes. */
   get mayRun(): boolean {
     if (this.lock !== undefined) return true;
     const { quarantine } = this.options.serving;
-    return quarantine.empty || !quarantine.isSuspected(this.fingerprint, performance.now());
+    return quarantine.isEmpty || !quarantine.isSuspected(this.fingerprint, performance.now());
   }
 
   /** Acquires the lock if no other copy holds it, or else sleeps a moment. */
@@ -62,12 +62,12 @@
     const { quarantine } = this.options.serving;
     if (outcome.kind === "broken" && outcome.cut) {
       this.noteCut(server, outcome.reason, outcome.lastEvent, sentMs);
-      this.lock?.cut();
+      this.lock?.markCut();
     }
     const now = performance.now();
-    if (hasAnswered(outcome)) quarantine.answered(incarnationOf(server), sentMs, now);
-    if (hasRun(outcome) && (this.maySoonRepeat || !quarantine.empty))
-      quarantine.survived(this.fingerprint, now);
+    if (hasAnswered(outcome)) quarantine.recordResponse(incarnationOf(server), sentMs, now);
+    if (hasRun(outcome) && (this.maySoonRepeat || !quarantine.isEmpty))
+      quarantine.recordSuccess(this.fingerprint, now);
     this.dispose();
   }
 
@@ -89,7 +89,7 @@
     // gone already, ends for that reason, and cuts off whatever still runs on it.
     const ended =
       known !== undefined && !known.leaving && serving.notices.leavingSinceMs(known) === undefined;
-    if (ended) serving.quarantine.cut(this.fingerprint, incarnationOf(server), now);
+    if (ended) serving.quarantine.recordConnectionLoss(this.fingerprint, incarnationOf(server), now);
     serving.metrics.cuts.inc({ service: server.service });
     serving.log.info({
       event: "request-cut",
--- a/src/gateway/quarantineGossip.ts
+++ b/src/gateway/quarantineGossip.ts
@@ -6,7 +6,7 @@
 import { DisposableStore } from "../common/disposables.ts";
 import type { Log } from "../common/log.ts";
 import type { Task } from "../common/supervisor.ts";
-import { QuarantineNews, type Quarantine } from "../serving/quarantine/quarantine.ts";
+import { QuarantineUpdate, type Quarantine } from "../serving/quarantine/quarantine.ts";
 import type { PeerTask } from "./peerTask.ts";
 
 /** News is gathered for this long before it is told, ms: a server that ends cuts all that ran on it at once. */
@@ -23,7 +23,7 @@
    * Is it on this node to save holds that others' news leads to? One that stands by tells its news and hears none, so it
    * doesn't know of the hold itself.
    */
-  readonly decides: () => boolean;
+  readonly savesEntries: () => boolean;
 }
 
 /** Owns the timers of what is still to be told. */
@@ -41,12 +41,12 @@
 
   start(): Promise<void> {
     const { quarantine } = this.options;
-    const gather = quarantine.noted.on(() => {
+    const gather = quarantine.updated.on(() => {
       if (this.gathering) return;
       this.gathering = true;
       this.later(gatherMs, () => {
         this.gathering = false;
-        this.tell(quarantine.takeNews(), tellAgainMs);
+        this.tell(quarantine.takeUpdate(), tellAgainMs);
       });
     });
     this.disposables.add(gather);
@@ -59,23 +59,23 @@
   }
 
   /** Tells the peers now, and a moment later what of it still counts. */
-  private tell(news: QuarantineNews | undefined, againMs: readonly number[]): void {
+  private tell(news: QuarantineUpdate | undefined, againMs: readonly number[]): void {
     if (news === undefined) return;
     this.options.peers.notify("quarantine", news);
     const [nextMs, ...laterMs] = againMs;
     if (nextMs === undefined) return;
     this.later(nextMs, () => {
-      this.tell(this.options.quarantine.stillTrue(news), laterMs);
+      this.tell(this.options.quarantine.stillValid(news), laterMs);
     });
   }
 
   private hear(params: unknown): void {
-    decodeEither(QuarantineNews, params)
+    decodeEither(QuarantineUpdate, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight((news) => {
-        this.options.quarantine.hear(news, this.options.decides(), performance.now());
+        this.options.quarantine.applyUpdate(news, this.options.savesEntries(), performance.now());
       });
   }
 
--- a/src/gateway/quarantineTask.ts
+++ b/src/gateway/quarantineTask.ts
@@ -10,9 +10,9 @@
 import type { Handler } from "../common/rpc.ts";
 import type { Quarantine, QuarantineChange } from "../serving/quarantine/quarantine.ts";
 import type { Row, RowChange, RowSet } from "../serving/store.ts";
-import { absentAt, beginning, isAfter, latest, StorePosition } from "../serving/storePosition.ts";
+import { absentAt, initialPosition, isAfter, laterOf, StorePosition } from "../serving/storePosition.ts";
 import type { GatewayMetrics } from "./gatewayMetrics.ts";
-import type { PeerNews } from "./peerCalls.ts";
+import type { PeerVersions } from "./peerCalls.ts";
 import { TableTask, type TableTaskOptions } from "./tableTask.ts";
 
 const table = "parsleynotch_quarantine";
@@ -56,14 +56,14 @@
   readonly metrics: GatewayMetrics;
   readonly quarantine: Quarantine;
   /** Calls a peer. */
-  readonly ask: (peer: PeerNews, method: string, params: unknown) => Promise<unknown>;
+  readonly callPeer: (peer: PeerVersions, method: string, params: unknown) => Promise<unknown>;
 }
 
 /** Owns what is told and saved. */
 export class QuarantineTask extends TableTask {
-  private known = beginning;
+  private known = initialPosition;
   /** Of the last answer of the store. */
-  private readAt = beginning;
+  private readAt = initialPosition;
   /** The store's clock less this node's steady one, ms. */
   private clockOffsetMs: number | undefined;
   private pulling = false;
@@ -90,7 +90,7 @@
   override start(): Promise<void> {
     const { quarantine } = this.options;
     this.disposables.add(
-      quarantine.noted.on(() => {
+      quarantine.updated.on(() => {
         this.watch();
       }),
     );
@@ -109,11 +109,11 @@
   }
 
   /** A peer may know of newer holds. */
-  async hear(peer: PeerNews): Promise<void> {
-    if (!isAfter(peer.quarantinePosition ?? beginning, this.known) || this.pulling) return;
+  async pullIfNewer(peer: PeerVersions): Promise<void> {
+    if (!isAfter(peer.quarantinePosition ?? initialPosition, this.known) || this.pulling) return;
     this.pulling = true;
     try {
-      this.takeAll(decode(HeldResult, await this.options.ask(peer, "quarantine.get", {})));
+      this.takeAll(decode(HeldResult, await this.options.callPeer(peer, "quarantine.get", {})));
     } catch (error) {
       const detail = toFailure(error).message;
       this.options.log.debug({ event: "quarantine-not-pulled", peer: peer.host, detail });
@@ -136,8 +136,8 @@
     this.clockOffsetMs = set.nowMs - performance.now();
     this.readAt = set.position;
     for (const row of set.rows) this.takeRow(row);
-    for (const fingerprint of set.removed) quarantine.release(fingerprint, performance.now());
-    if (set.removed.length > 0) this.known = latest(this.known, set.position);
+    for (const fingerprint of set.removed) quarantine.remove(fingerprint, performance.now());
+    if (set.removed.length > 0) this.known = laterOf(this.known, set.position);
     if (whole) this.releaseMissing(new Set(set.rows.map(({ key }) => key)), set.position);
     this.watch();
   }
@@ -155,8 +155,8 @@
       })
       .ifRight(({ untilMs, forMs, ended }) => {
         const hold = { untilMs: untilMs - (this.clockOffsetMs ?? 0), forMs, ended };
-        this.options.quarantine.learn(key, hold, position, performance.now());
-        this.known = latest(this.known, position);
+        this.options.quarantine.applyEntry(key, hold, position, performance.now());
+        this.known = laterOf(this.known, position);
       });
   }
 
@@ -165,27 +165,27 @@
    * is lost with it, not released.
    */
   private releaseMissing(present: ReadonlySet<string>, asOf: StorePosition): void {
-    const { quarantine, reads, log } = this.options;
+    const { quarantine, shouldReadStore: reads, log } = this.options;
     const now = performance.now();
-    for (const [fingerprint, row] of quarantine.holds.writtenBy(asOf)) {
+    for (const [fingerprint, row] of quarantine.entries.writtenUpTo(asOf)) {
       if (present.has(fingerprint) || row.era === asOf.era) continue;
       log.info({ event: "quarantine-row-lost", fingerprint });
-      quarantine.holds.markUnsaved(fingerprint, reads(), now);
+      quarantine.entries.markUnsaved(fingerprint, reads(), now);
     }
-    for (const [fingerprint, { row }] of quarantine.holds.saved()) {
+    for (const [fingerprint, { row }] of quarantine.entries.saved()) {
       if (present.has(fingerprint) || row === undefined || isAfter(row, asOf)) continue;
-      quarantine.release(fingerprint, now);
-      this.known = latest(this.known, asOf);
+      quarantine.remove(fingerprint, now);
+      this.known = laterOf(this.known, asOf);
     }
   }
 
   private toTell(): typeof HeldResult.Type {
     const now = performance.now();
-    const held = this.options.quarantine.holds
+    const held = this.options.quarantine.entries
       .saved()
       .map(([fingerprint, { untilMs, forMs, row, ended }]): [string, typeof HeldEntry.Type] => [
         fingerprint,
-        { leftMs: untilMs - now, forMs, position: row ?? beginning, ...endedOf(ended) },
+        { leftMs: untilMs - now, forMs, position: row ?? initialPosition, ...endedOf(ended) },
       ]);
     return { position: this.known, held: Object.fromEntries(held) };
   }
@@ -193,19 +193,19 @@
   private takeAll({ position, held }: typeof HeldResult.Type): void {
     const now = performance.now();
     for (const [fingerprint, { leftMs, forMs, position: row, ended }] of Object.entries(held))
-      this.options.quarantine.learn(fingerprint, { untilMs: now + leftMs, forMs, ended }, row, now);
+      this.options.quarantine.applyEntry(fingerprint, { untilMs: now + leftMs, forMs, ended }, row, now);
     this.releaseMissing(new Set(Object.keys(held)), position);
-    this.known = latest(this.known, position);
+    this.known = laterOf(this.known, position);
     this.watch();
   }
 
   /** Looks at what is to be saved or dropped, for as long as anything is known: most nodes know of nothing. */
   private watch(): void {
     const { quarantine } = this.options;
-    if (this.stopped || (quarantine.empty && this.released.size === 0)) return;
+    if (this.stopped || (quarantine.isEmpty && this.released.size === 0)) return;
     this.watching ??= setTimeout(() => {
       this.watching = undefined;
-      quarantine.expire(performance.now(), this.options.reads());
+      quarantine.expire(performance.now(), this.options.shouldReadStore());
       void this.save();
       this.watch();
     }, tidyMs);
@@ -214,7 +214,7 @@
   private onChange({ fingerprint, kind, own, row }: QuarantineChange): void {
     const { log, quarantine, metrics } = this.options;
     if (kind !== "forgotten") log.warn({ event: changeEvents[kind], fingerprint, own });
-    metrics.quarantined.set(quarantine.holds.inForce(performance.now()));
+    metrics.quarantined.set(quarantine.entries.activeCount(performance.now()));
     this.watch();
     if (!own) return;
     if (kind !== "held" && row !== undefined) this.released.set(fingerprint, row);
@@ -224,7 +224,7 @@
   /** Writes what the store doesn't have yet; what fails is tried again at the next look. */
   private async save(): Promise<void> {
     const { store, quarantine, log } = this.options;
-    const due = quarantine.holds.unsaved(performance.now()).length > 0 || this.released.size > 0;
+    const due = quarantine.entries.unsaved(performance.now()).length > 0 || this.released.size > 0;
     if (this.saving || !due) return;
     this.saving = true;
     try {
@@ -243,7 +243,7 @@
   }
 
   private changesToSave(offsetMs: number): RowChange[] {
-    const unsaved = this.options.quarantine.holds.unsaved(performance.now());
+    const unsaved = this.options.quarantine.entries.unsaved(performance.now());
     const held = unsaved.map(([key, { untilMs, forMs, row, ended }]) => ({
       table,
       key,
--- a/src/gateway/runLockTask.ts
+++ b/src/gateway/runLockTask.ts
@@ -30,7 +30,7 @@
 /** A lock held by this node; dispose to give it back. */
 export interface RunLock extends Disposable {
   /** The copy was cut: the lock is given back once other nodes can know it. */
-  cut(): void;
+  markCut(): void;
 }
 
 /** Owns the locks that this node holds, and those that it gives out. */
@@ -82,7 +82,7 @@
       void this.giveBack(fingerprint);
     };
     return {
-      cut: () => {
+      markCut: () => {
         isCut = true;
       },
       dispose: () => {
--- a/src/gateway/sendRecord.ts
+++ b/src/gateway/sendRecord.ts
@@ -1,10 +1,10 @@
 /** What the sends of one request teach: of loads while they run, and of servers, models and engines by their outcomes. */
 import type { Model, Service } from "../serving/configuration.ts";
-import type { RequestFacts } from "../serving/exchange.ts";
-import type { InFlight } from "../serving/loadBoard.ts";
-import { sharedTokens, type Chosen } from "../serving/serverChoice.ts";
+import type { RequestMetadata } from "../serving/exchange.ts";
+import type { InFlightRequest } from "../serving/loadTracker.ts";
+import { sharedPrefixTokens, type ServerEstimate } from "../serving/serverChoice.ts";
 import type { AttemptOutcome } from "./attempt.ts";
-import { adapterKey, residencyKey, type Serving } from "./serving.ts";
+import { adapterKey, residencyKey, type GatewayContext } from "./gatewayContext.ts";
 
 /** Prompts with a larger shared part say little of a model's pace. */
 const mostSharedPart = 0.4;
@@ -13,9 +13,9 @@
 
 /** What the record works with. */
 export interface SendRecordOptions {
-  readonly serving: Serving;
+  readonly serving: GatewayContext;
   readonly service: Service;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly arrivedMs: number;
 }
 
@@ -24,11 +24,11 @@
   constructor(private readonly options: SendRecordOptions) {}
 
   /** Counts the send in flight at its server, and with its model and adapter, until it is done. */
-  begin(chosen: Chosen): InFlight {
+  begin(chosen: ServerEstimate): InFlightRequest {
     const { serving, facts, service } = this.options;
     const { loads, modelsRunning, adaptersRunning } = serving;
     const { model, adapter } = facts;
-    const inFlight = loads.begin(chosen.server.id, chosen.workMs);
+    const inFlight = loads.begin(chosen.server.id, chosen.prefillMs);
     if (serving.notices.limitPerS(chosen.server) !== undefined)
       serving.metrics.limitedSends.inc({ service: service.name });
     if (model === undefined) return inFlight;
@@ -49,29 +49,29 @@
   }
 
   /** Judges the server by the outcome, learns the model's pace and the engine's speed, and writes it to the log. */
-  note(chosen: Chosen, outcome: AttemptOutcome): void {
+  note(chosen: ServerEstimate, outcome: AttemptOutcome): void {
     const { serving, service } = this.options;
     const { server } = chosen;
     const now = performance.now();
     serving.metrics.attempts.inc({ service: service.name, outcome: outcome.kind });
     if (outcome.kind === "answered" && outcome.answer.facts.status >= serverErrorStatus) {
-      serving.outliers.failed(server.id, now);
+      serving.outliers.recordFailure(server.id, now);
     } else if (outcome.kind === "answered" || outcome.kind === "streamed") {
-      serving.outliers.succeeded(server.id, outcome.firstByteMs, chosen.healthyMs);
+      serving.outliers.recordSuccess(server.id, outcome.firstByteMs, chosen.baselineMs);
       this.learnPace(chosen, outcome.firstByteMs);
       if (outcome.kind === "streamed" && service.engine !== undefined)
-        serving.speed.learn(outcome.timing, service.engine.tokensPerEvent);
+        serving.speed.observe(outcome.timing, service.engine.tokensPerEvent);
     } else if (outcome.kind === "unreachable") {
-      serving.outliers.unreachable(server.id, now);
+      serving.outliers.recordUnreachable(server.id, now);
     } else if (outcome.kind === "broken" || outcome.kind === "silent") {
-      serving.outliers.failed(server.id, now);
+      serving.outliers.recordFailure(server.id, now);
     }
     if (outcome.kind === "silent" && outcome.waitedMs !== undefined)
-      serving.outliers.late(server.id, outcome.waitedMs, chosen.healthyMs);
+      serving.outliers.recordTimeout(server.id, outcome.waitedMs, chosen.baselineMs);
     this.log(chosen, outcome, now);
   }
 
-  private log(chosen: Chosen, outcome: AttemptOutcome, now: number): void {
+  private log(chosen: ServerEstimate, outcome: AttemptOutcome, now: number): void {
     const { serving, facts, arrivedMs } = this.options;
     serving.log.debug({
       event: "attempt",
@@ -89,13 +89,13 @@
     });
   }
 
-  private learnPace(chosen: Chosen, firstByteMs: number): void {
+  private learnPace(chosen: ServerEstimate, firstByteMs: number): void {
     const { serving, facts } = this.options;
     const { model } = this;
-    if (model === undefined || !chosen.quiet) return;
+    if (model === undefined || !chosen.lightlyLoaded) return;
     // Where much of the prompt is shared it isn't known how much of it was read.
-    if (sharedTokens(facts.prefix) > mostSharedPart * facts.promptTokens) return;
-    serving.paces.learn(model, firstByteMs, chosen.referenceMs);
+    if (sharedPrefixTokens(facts.prefix) > mostSharedPart * facts.promptTokens) return;
+    serving.paces.observe(model, firstByteMs, chosen.referencePrefillMs);
   }
 
   /** The model asked for, where the service has engines. */
--- a/src/gateway/serverCandidates.ts
+++ b/src/gateway/serverCandidates.ts
@@ -1,14 +1,14 @@
 /** Which backend servers could serve one request: now, or once what they said of themselves allows it. */
 import { holds, type BackendServer } from "../serving/backendServer.ts";
 import type { Service } from "../serving/configuration.ts";
-import type { RequestFacts } from "../serving/exchange.ts";
-import type { Serving } from "./serving.ts";
+import type { RequestMetadata } from "../serving/exchange.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 
 /** What the candidates are found with. */
 export interface ServerCandidatesOptions {
-  readonly serving: Serving;
+  readonly serving: GatewayContext;
   readonly service: Service;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
 }
 
 /** The candidates of one request. */
@@ -31,7 +31,7 @@
 
   /** Servers that could serve the request, and by their own word take none now: a rate limit, or a pause. */
   get heldBack(): BackendServer[] {
-    if (this.options.serving.notices.empty) return [];
+    if (this.options.serving.notices.isEmpty) return [];
     const now = performance.now();
     return this.open().filter((server) => !this.tried.has(server.id) && !this.takesRequests(server, now));
   }
@@ -41,7 +41,7 @@
     const now = performance.now();
     const { refusals } = this.options.serving;
     return this.reachable(this.available, this.model, this.options.facts.adapter).some(
-      ({ id }) => !this.tried.has(id) && !refusals.open(id, this.scope, now),
+      ({ id }) => !this.tried.has(id) && !refusals.isAvailable(id, this.scope, now),
     );
   }
 
@@ -63,14 +63,14 @@
 
   private takesRequests(server: BackendServer, nowMs: number): boolean {
     const { notices, permits } = this.options.serving;
-    return notices.isOpen(server, nowMs) && permits.admits(server, nowMs);
+    return notices.acceptsRequests(server, nowMs) && permits.admits(server, nowMs);
   }
 
   /** Servers that don't refuse requests like this; where there is no other, one that has just said that it leaves. */
   private open(): BackendServer[] {
     const { facts, service, serving } = this.options;
     const now = performance.now();
-    const isOpen = ({ id }: BackendServer): boolean => serving.refusals.open(id, this.scope, now);
+    const isOpen = ({ id }: BackendServer): boolean => serving.refusals.isAvailable(id, this.scope, now);
     const servers = this.reachable(this.available, this.model, facts.adapter).filter(isOpen);
     if (servers.length > 0) return servers;
     const leaving = serving.fleet.leavingSince(service.name, now - serving.drainMs);
--- a/src/gateway/storeLink.ts
+++ b/src/gateway/storeHealth.ts
@@ -8,7 +8,7 @@
 const shortOutageMs = 800;
 
 /** The state of the link, told by every task that calls the store. */
-export class StoreLink {
+export class StoreHealth {
   private lostSinceMs: number | undefined;
   /** Fired with the length of the outage, ms, at the first answer after one. */
   readonly returned = new Emitter<number>();
--- a/src/gateway/readingDuty.ts
+++ b/src/gateway/storeReaderRole.ts
@@ -1,5 +1,5 @@
 /** Whether it is on this node to read the store for all, by what it hears of the others' reads. */
-import { freshMs, shouldRead, type Reader } from "../serving/membership/readers.ts";
+import { maxFreshReadAgeMs, shouldReadStore, type StoreReader } from "../serving/membership/storeReaders.ts";
 import type { PeerTable } from "../serving/membership/peerTable.ts";
 
 /**
@@ -19,31 +19,31 @@
   /** Time since this node's last read that succeeded, ms. */
   readonly readAgeMs: () => number;
   /** Time since any active node read, as a node that stands by hears it, ms. */
-  readonly heardReadAgeMs: () => number;
+  readonly reportedReadAgeMs: () => number;
 }
 
 /** Decides by the moment. */
-export class ReadingDuty {
+export class StoreReaderRole {
   private readonly startedMs = performance.now();
 
   constructor(private readonly options: ReadingDutyOptions) {}
 
   /** Should this node read now? */
-  get due(): boolean {
+  get shouldRead(): boolean {
     const { ip, active, holdsLease, readAgeMs } = this.options;
     if (!active() && this.leavesReading) return false;
-    return shouldRead({ ip, holder: holdsLease(), readAgeMs: readAgeMs() }, this.readers());
+    return shouldReadStore({ ip, isLeaseHolder: holdsLease(), readAgeMs: readAgeMs() }, this.readers());
   }
 
   /** Time since any active node read the store, as far as is known, ms. */
-  get freshestReadMs(): number {
-    const { readAgeMs, heardReadAgeMs } = this.options;
+  get freshestReadAgeMs(): number {
+    const { readAgeMs, reportedReadAgeMs: heardReadAgeMs } = this.options;
     return Math.min(readAgeMs(), heardReadAgeMs(), ...this.readers().map((reader) => reader.readAgeMs));
   }
 
   /** Did a peer read lately? */
-  get servedToPeers(): boolean {
-    return this.readers().some((reader) => reader.readAgeMs < freshMs);
+  get storeReachableByPeers(): boolean {
+    return this.readers().some((reader) => reader.readAgeMs < maxFreshReadAgeMs);
   }
 
   /**
@@ -52,15 +52,17 @@
    */
   private get leavesReading(): boolean {
     if (performance.now() - this.startedMs < standbyReadMs) return true;
-    return this.options.heardReadAgeMs() < standbyReadMs;
+    return this.options.reportedReadAgeMs() < standbyReadMs;
   }
 
   /** Live peers, with how long ago each read the store. */
-  private readers(): Reader[] {
+  private readers(): StoreReader[] {
     const now = performance.now();
-    return this.options.table.alive(this.options.readUntilMs()).map(({ pulse, heardMs }) => {
-      const readAgeMs = (pulse.readAgeMs ?? Number.POSITIVE_INFINITY) + (now - heardMs);
-      return { ip: pulse.ip, holder: pulse.token !== undefined, readAgeMs };
-    });
+    return this.options.table
+      .alive(this.options.readUntilMs())
+      .map(({ status: pulse, lastHeardMs: heardMs }) => {
+        const readAgeMs = (pulse.readAgeMs ?? Number.POSITIVE_INFINITY) + (now - heardMs);
+        return { ip: pulse.ip, isLeaseHolder: pulse.token !== undefined, readAgeMs };
+      });
   }
 }
--- a/src/gateway/tableTask.ts
+++ b/src/gateway/tableTask.ts
@@ -13,7 +13,7 @@
 export interface TableTaskOptions {
   readonly store: Store;
   /** Is it on this node to read? */
-  readonly reads: () => boolean;
+  readonly shouldReadStore: () => boolean;
   /** Does this node take callers, rather than stand by? */
   readonly active: () => boolean;
 }
@@ -40,10 +40,10 @@
     super(follows.name);
   }
 
-  protected override async follow(): Promise<void> {
+  protected override async run(): Promise<void> {
     let position: StorePosition | undefined;
     while (!this.stopped) {
-      if (!this.reading.reads() && !this.lacking) {
+      if (!this.reading.shouldReadStore() && !this.lacking) {
         // What changed meanwhile is read whole when it is on this node again.
         position = undefined;
         const { active, standby } = this.follows.idleMs;
--- a/src/gateway/utilization.ts
+++ b/src/gateway/utilization.ts
@@ -32,7 +32,7 @@
   }
 
   /** Another kind of work begins: what was measured before says nothing of it, nor does its beginning. */
-  restart(): void {
+  reset(): void {
     this.samples = [];
     this.settledMs = timeOf(this.measure()) + settleMs;
   }
--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -4,7 +4,7 @@
  * tokens come after their callers have left, and the work on all of them is lost. Held back here, those that
  * are sent come in time, the more urgent ones first, and the others can still be refused without having run.
  */
-import { isHopeless } from "./sendRules.ts";
+import { willMissDeadline } from "./sendRules.ts";
 
 /** A request is sent if the first token of one that needs no reading is expected within this part of its target. */
 const targetPart = 0.9;
@@ -32,10 +32,10 @@
   /** Until the first token, by what is ahead of the request at the engine, ms. */
   readonly queueMs: number;
   /** The same with the reading of the request itself. */
-  readonly expectedMs: number;
+  readonly expectedFirstByteMs: number;
   /** Until the caller leaves without a first byte, ms; and the whole of that time. */
-  readonly leftMs: number;
-  readonly patienceMs: number;
+  readonly remainingMs: number;
+  readonly callerTimeoutMs: number;
   readonly targetMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -52,17 +52,24 @@
 
 /** What to do with the request now. */
 export function admit(view: AdmissionView): Admission {
-  const { queueMs, expectedMs, leftMs } = view;
-  if (isHopeless(expectedMs, leftMs)) return { kind: "refuse", retryAfterMs: expectedMs - leftMs };
+  const { queueMs, expectedFirstByteMs: expectedMs, remainingMs: leftMs } = view;
+  if (willMissDeadline(expectedMs, leftMs)) return { kind: "refuse", retryAfterMs: expectedMs - leftMs };
   const limitMs =
     Math.max(targetPart * view.targetMs, leftPart * leftMs) / (1 + rankStep * Math.max(0, view.priority));
   if (queueMs <= limitMs && hasSlot(view)) return { kind: "send" };
-  if (view.patienceMs - leftMs < heldPart * view.patienceMs) return { kind: "wait" };
+  if (view.callerTimeoutMs - leftMs < heldPart * view.callerTimeoutMs) return { kind: "wait" };
   return { kind: "refuse", retryAfterMs: queueMs };
 }
 
 /** Is there a slot for the request, beside those kept for others? */
-function hasSlot({ priority, requests, slots, patienceMs, leftMs, targetMs }: AdmissionView): boolean {
+function hasSlot({
+  priority,
+  requests,
+  slots,
+  callerTimeoutMs: patienceMs,
+  remainingMs: leftMs,
+  targetMs,
+}: AdmissionView): boolean {
   const late = patienceMs - leftMs > targetMs ? slotsLeftByLate : 0;
   return requests < slots * (1 + overbookedPart - slotsLeftPerRank * Math.max(0, priority) - late);
 }
--- a/src/serving/clockWatch.ts
+++ b/src/serving/clockJumpDetector.ts
@@ -8,17 +8,17 @@
 
 /** Readings of both clocks, ms. */
 export interface Clocks {
-  readonly steadyMs: number;
-  readonly dayMs: number;
+  readonly monotonicMs: number;
+  readonly wallMs: number;
 }
 
 /** Compares the clocks at each look. */
-export class ClockWatch {
+export class ClockJumpDetector {
   private offset: number | undefined;
 
   /** True if the time of day moved against the steady clock since the last look, in either direction. */
-  frozeSince(clocks: Clocks): boolean {
-    const offset = clocks.dayMs - clocks.steadyMs;
+  detectJump(clocks: Clocks): boolean {
+    const offset = clocks.wallMs - clocks.monotonicMs;
     const previous = this.offset;
     this.offset = offset;
     return previous !== undefined && Math.abs(offset - previous) > freezeMs;
@@ -27,5 +27,5 @@
 
 /** Reads both clocks of this process. */
 export function readClocks(): Clocks {
-  return { steadyMs: performance.now(), dayMs: Date.now() };
+  return { monotonicMs: performance.now(), wallMs: Date.now() };
 }
--- a/src/serving/configuration.ts
+++ b/src/serving/configuration.ts
@@ -100,7 +100,7 @@
 export type Configuration = typeof Configuration.Type;
 
 /** May this route's requests run more than once? */
-export function repeatable(route: Route): boolean {
+export function isRepeatable(route: Route): boolean {
   if (route.kind === "stream") return route.resumable;
   return route.kind === "idempotent";
 }
--- a/src/serving/demandMeter.ts
+++ b/src/serving/demandMeter.ts
@@ -18,7 +18,7 @@
 /** Part of the slow average that demand is taken not to fall below, where few requests are expected. */
 const lullPart = 0.6;
 /** Below this the demand counts as none: one short request in the slow window, engine ms per s. */
-export const negligible = 2;
+export const negligibleDemand = 2;
 
 interface Average {
   fast: number;
@@ -31,7 +31,7 @@
 /** Options of a `DemandMeter`. */
 export interface DemandMeterOptions {
   /** Nodes that see a part of the demand each, this one included: what they measure is added up. */
-  readonly nodes?: () => number;
+  readonly nodeCount?: () => number;
 }
 
 /** Moving averages of work per key. */
@@ -39,7 +39,7 @@
   private readonly averages = new Map<string, Average>();
   private readonly nodes: () => number;
 
-  constructor({ nodes = () => 1 }: DemandMeterOptions = {}) {
+  constructor({ nodeCount: nodes = () => 1 }: DemandMeterOptions = {}) {
     this.nodes = nodes;
   }
 
@@ -65,8 +65,8 @@
     const levels: Record<string, number> = {};
     for (const [key, { slow }] of [...this.averages]) {
       const level = Math.round(this.level(key, nowMs));
-      if (level >= negligible) levels[key] = level;
-      else if (slow < negligible) this.averages.delete(key);
+      if (level >= negligibleDemand) levels[key] = level;
+      else if (slow < negligibleDemand) this.averages.delete(key);
     }
     return levels;
   }
--- a/src/serving/engineSpeed.ts
+++ b/src/serving/engineSpeed.ts
@@ -24,7 +24,7 @@
 /** A stream as it came. */
 export interface StreamTiming {
   /** From the send to the last event, ms. */
-  readonly wholeMs: number;
+  readonly totalMs: number;
   /** From the first event to the last, ms. */
   readonly eventsMs: number;
   readonly events: number;
@@ -36,7 +36,7 @@
   private hold = initialHoldMs;
 
   /** A stream was given whole; an event holds `tokensPerEvent` tokens. */
-  learn({ wholeMs, eventsMs, events }: StreamTiming, tokensPerEvent: number): void {
+  observe({ totalMs: wholeMs, eventsMs, events }: StreamTiming, tokensPerEvent: number): void {
     this.hold += (wholeMs - this.hold) * newestHold;
     if (events < leastEvents) return;
     const stepMs = eventsMs / (events - 1) / Math.max(1, tokensPerEvent);
@@ -60,7 +60,7 @@
   readonly ownTokens: number;
   readonly outputTokens: number;
   /** Pace at which its model reads. */
-  readonly pace: number;
+  readonly prefillFactor: number;
 }
 
 /**
@@ -68,6 +68,6 @@
  * of the decoding steps, which serve all slots at once. An engine that is asked for all of its time has no slot left.
  */
 export function engineWorkMs(size: RequestSize, stepMs: number, slots: number): number {
-  const readingMs = (size.ownTokens / prefillTokensPerMs) * size.pace;
+  const readingMs = (size.ownTokens / prefillTokensPerMs) * size.prefillFactor;
   return readingMs + (size.outputTokens * stepMs) / Math.max(1, slots);
 }
--- a/src/serving/historyStore.ts
+++ b/src/serving/eraScopedStore.ts
@@ -3,24 +3,24 @@
  * of different eras are never sent as versions, and an answer counts in its own era only.
  */
 import { Failure } from "../common/errors.ts";
-import type { EraWatch } from "./eraWatch.ts";
+import type { EraTracker } from "./eraTracker.ts";
 import type { CommitReceipt, RowChange, RowSet, Store, StoreCallOptions } from "./store.ts";
-import type { RowsAnswer, StoreCalls } from "./storeCalls.ts";
+import type { RowsResponse, StoreApi } from "./storeApi.ts";
 import type { StorePosition } from "./storePosition.ts";
 
 /** Options of a `HistoryStore`. */
 export interface HistoryStoreOptions {
-  readonly calls: StoreCalls;
+  readonly api: StoreApi;
   /** Notes the era of every answer before the answer is given back. */
-  readonly eras: EraWatch;
+  readonly eras: EraTracker;
 }
 
 /** Turns positions into versions of the current era and back. */
-export class HistoryStore implements Store {
-  readonly eras: EraWatch;
-  private readonly wire: StoreCalls;
+export class EraScopedStore implements Store {
+  readonly eras: EraTracker;
+  private readonly wire: StoreApi;
 
-  constructor({ calls, eras }: HistoryStoreOptions) {
+  constructor({ api: calls, eras }: HistoryStoreOptions) {
     this.wire = calls;
     this.eras = eras;
   }
@@ -54,7 +54,7 @@
   }
 
   /** Refuses an answer that a later one has overtaken. */
-  private current(answer: RowsAnswer): RowSet {
+  private current(answer: RowsResponse): RowSet {
     if (answer.era !== this.eras.current) throw historyLost(answer);
     return toRowSet(answer);
   }
@@ -77,7 +77,7 @@
   return new Failure("history-lost", `version ${version} is of the era ${era}, which has ended`);
 }
 
-function toRowSet({ era, version, nowMs, rows, removed }: RowsAnswer): RowSet {
+function toRowSet({ era, version, nowMs, rows, removed }: RowsResponse): RowSet {
   return {
     rows: rows.map((row) => ({ key: row.key, value: row.value, position: { era, version: row.version } })),
     removed,
--- a/src/serving/eraWatch.ts
+++ b/src/serving/eraTracker.ts
@@ -9,7 +9,7 @@
 }
 
 /** The newest era that a node knows of, from answers of the store and from its peers. */
-export class EraWatch {
+export class EraTracker {
   /** Fired before anything that was read in the new era is used. */
   readonly changed = new Emitter<EraChange>();
   private known: number | undefined;
@@ -26,7 +26,7 @@
   }
 
   /** Takes an era that an answer or a peer names; one that isn't later than the known one changes nothing. */
-  note(era: number): void {
+  observe(era: number): void {
     const from = this.known;
     if (from !== undefined && era <= from) return;
     this.known = era;
--- a/src/serving/exchange.ts
+++ b/src/serving/exchange.ts
@@ -10,7 +10,7 @@
 }
 
 /** What a caller's headers say. */
-export interface RequestFacts {
+export interface RequestMetadata {
   readonly requestId: string;
   readonly host: string;
   /** How long the caller waits, ms. */
@@ -28,7 +28,7 @@
 }
 
 /** What the gateway sets on a request to a server. */
-export interface SendFacts {
+export interface SendMetadata {
   /** The only incarnation that may run it. */
   readonly serverId: string;
   /** Time left, ms. */
@@ -36,7 +36,7 @@
   /** 0 is the most urgent; only where the service's servers rank requests. */
   readonly priority?: number | undefined;
   /** Continue a stream after this event. */
-  readonly resumeAfter?: number | undefined;
+  readonly resumeAfterEventId?: number | undefined;
   readonly bodyBytes?: number | undefined;
 }
 
@@ -51,11 +51,11 @@
 }
 
 /** What a server's answer says, before its body. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   readonly status: number;
   readonly requestId: string | undefined;
   /** The server states that it did not run the request. */
-  readonly notRun: boolean;
+  readonly notExecuted: boolean;
   /** Another server has the address, or the model or adapter is not there. */
   readonly wrongServer: boolean;
   readonly sealed: boolean;
@@ -64,18 +64,18 @@
   readonly framed: boolean;
   /** After this idle time the server closes the connection, s. */
   readonly keepAliveS: number | undefined;
-  readonly closes: boolean;
+  readonly closesConnection: boolean;
   readonly notice: ServerNotice;
 }
 
 /** Reads and writes the headers of requests and answers; the platform's names stay behind it. */
 export interface HeaderCodec {
   /** Reads a caller's request. */
-  readRequest(headers: HeaderMap): RequestFacts;
+  readRequest(headers: HeaderMap): RequestMetadata;
   /** The raw header list of a request to a server. */
-  forwardHeaders(raw: readonly string[], send: SendFacts): string[];
+  forwardHeaders(raw: readonly string[], send: SendMetadata): string[];
   /** Reads a server's answer. */
-  readAnswer(status: number, headers: HeaderMap): AnswerFacts;
+  readResponse(status: number, headers: HeaderMap): ResponseMetadata;
   /** The end-to-end headers of a server's answer, without framing. */
-  answerHeaders(raw: readonly string[]): string[];
+  responseHeaders(raw: readonly string[]): string[];
 }
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -4,7 +4,7 @@
  */
 import { holds, startedAfter, type BackendServer, type Resident } from "./backendServer.ts";
 import { ServerNotices } from "./serverNotices.ts";
-import { beginning, isAfter, type StorePosition } from "./storePosition.ts";
+import { initialPosition, isAfter, type StorePosition } from "./storePosition.ts";
 
 /**
  * After the store was out of reach, registrations that lapsed meanwhile are back within two seconds if
@@ -28,7 +28,7 @@
 const slowUnloadMs = 15_000;
 
 /** A change of one engine's memory by an order, known before its next registration. */
-export interface Residency {
+export interface ResidencyChange {
   readonly serverId: string;
   /** The incarnation that took the order. */
   readonly startedAtMs?: number | undefined;
@@ -72,7 +72,7 @@
   /** The revision at which it last changed, by scope. */
   readonly changedAt: Record<ChangeScope, number>;
   /** The newest change of each model and adapter. */
-  readonly changes: Map<string, { change: Residency; untilMs: number }>;
+  readonly changes: Map<string, { change: ResidencyChange; untilMs: number }>;
 }
 
 /** The era of the store as this node came to know it. */
@@ -91,7 +91,7 @@
   private readonly gone = new Map<string, { asOf: StorePosition; revision: number }>();
   /** Registrations that may be from before what is known, and until when, ms. */
   private readonly doubtful = new Map<string, { registration: Registration; untilMs: number }>();
-  private era: Era = { start: beginning, sinceMs: Number.NEGATIVE_INFINITY };
+  private era: Era = { start: initialPosition, sinceMs: Number.NEGATIVE_INFINITY };
   /** The newest revision at which a server went that isn't remembered any more. */
   private forgottenRevision = 0;
   private graceUntil = 0;
@@ -129,12 +129,12 @@
     if (start.era <= this.era.start.era) return false;
     this.era = { start, sinceMs };
     this.doubtful.clear();
-    this.storeReturned(sinceMs);
+    this.storeRecovered(sinceMs);
     return true;
   }
 
   /** Takes a registration; true if it says anything new beside being newer. */
-  learn(registration: Registration, nowMs: number): boolean {
+  applyRegistration(registration: Registration, nowMs: number): boolean {
     const { server, position } = registration;
     const gone = this.gone.get(server.id);
     // Guards "a server that left is sent requests again": a node that the store turned away still has the
@@ -168,7 +168,7 @@
   }
 
   /** Servers known here that are not among all registrations as of the store's position `asOf`. */
-  missing(registrations: readonly Registration[], asOf: StorePosition): string[] {
+  idsMissingFrom(registrations: readonly Registration[], asOf: StorePosition): string[] {
     const seen = new Set(registrations.map((registration) => registration.server.id));
     const known = [...this.entries].filter(([, entry]) => !isAfter(entry.position, asOf)).map(([id]) => id);
     return [...new Set([...known, ...this.doubtful.keys()])].filter((id) => !seen.has(id));
@@ -210,7 +210,7 @@
   }
 
   /** The store is back after it was out of reach: removals are not final for a while. */
-  storeReturned(nowMs: number): void {
+  storeRecovered(nowMs: number): void {
     this.graceUntil = Math.max(this.graceUntil, nowMs + lapsedGraceMs);
   }
 
@@ -225,7 +225,7 @@
     for (const [id, { registration, untilMs }] of this.doubtful) {
       if (nowMs < untilMs) continue;
       this.doubtful.delete(id);
-      if (this.learn(registration, nowMs)) changed = true;
+      if (this.applyRegistration(registration, nowMs)) changed = true;
     }
     return changed;
   }
@@ -295,7 +295,7 @@
   }
 
   /** Takes the effect of an order. */
-  apply(change: Residency, nowMs: number): void {
+  applyChange(change: ResidencyChange, nowMs: number): void {
     const entry = this.entries.get(change.serverId);
     if (entry === undefined) return;
     // What an engine was ordered before it restarted is lost with its memory.
@@ -306,9 +306,9 @@
   }
 
   /** A server answered that it doesn't hold the model or adapter: believe it until it says otherwise. */
-  forget(server: BackendServer, model: string, adapter: string | undefined, nowMs: number): void {
+  markAbsent(server: BackendServer, model: string, adapter: string | undefined, nowMs: number): void {
     const { id: serverId, startedAtMs } = server;
-    this.apply({ serverId, startedAtMs, model, adapter, present: false }, nowMs);
+    this.applyChange({ serverId, startedAtMs, model, adapter, present: false }, nowMs);
   }
 
   /** Of the registration in force; undefined where none is known. */
@@ -367,7 +367,12 @@
  * Guards "requests go to an engine that drops their model": an unload waits for the requests that run, and
  * until it is done the registration shows the model while the engine refuses every new request for it.
  */
-function isSettled(registered: BackendServer, change: Residency, untilMs: number, nowMs: number): boolean {
+function isSettled(
+  registered: BackendServer,
+  change: ResidencyChange,
+  untilMs: number,
+  nowMs: number,
+): boolean {
   const wholeModel = change.adapter === undefined && !change.present;
   const stillShown = registered.residents.some((resident) => resident.model === change.model);
   return nowMs >= untilMs + (wholeModel && stillShown ? slowUnloadMs : 0);
@@ -382,7 +387,7 @@
   return server;
 }
 
-function withChange(server: BackendServer, change: Residency): BackendServer {
+function withChange(server: BackendServer, change: ResidencyChange): BackendServer {
   const others = server.residents.filter((r) => r.model !== change.model);
   const resident = server.residents.find((r) => r.model === change.model);
   if (change.adapter === undefined) {
--- a/src/serving/leaseRules.ts
+++ b/src/serving/leaseRules.ts
@@ -40,7 +40,7 @@
  */
 const rewriteMs = 2 * leaseRenewMs;
 /** How long after another holder's last order to an engine a successor may order it, ms. */
-export function distanceMs(leaseMs: number): number {
+export function handoverDelayMs(leaseMs: number): number {
   return leaseMs + handoverSlackMs;
 }
 
@@ -48,19 +48,19 @@
 const handoverSlackMs = 300;
 
 /** Who asks for the lease. */
-export interface Candidate {
+export interface LeaseCandidate {
   readonly host: string;
   readonly ip: string;
 }
 
 /** A holder tells its peers that it gives the lease up, as it can't reach the store any more. */
-export const Yield = Schema.Struct({
+export const LeaseYield = Schema.Struct({
   token: Schema.Number,
   /** Time since it last ordered each engine, ms; engines not named were left alone for long. */
   orderedAgoMs: Schema.Record(Schema.String, Schema.Number),
 });
 /** A decoded yield. */
-export type Yield = typeof Yield.Type;
+export type LeaseYield = typeof LeaseYield.Type;
 
 /** What a candidate knows of the lease. */
 export interface LeaseView {
@@ -76,19 +76,19 @@
 }
 
 /** Does the row tell who held the lease last, rather than come from a copy? */
-export function isOfEra(row: LeaseRow | undefined, era: number): boolean {
+export function isFromEra(row: LeaseRow | undefined, era: number): boolean {
   return era === 0 || row?.era === era;
 }
 
 /** Time until `candidate` may take the lease, ms; 0 if now. */
-export function waitToTake(view: LeaseView, candidate: Candidate, leaseMs: number): number {
+export function takeoverDelayMs(view: LeaseView, candidate: LeaseCandidate, leaseMs: number): number {
   const { row, era, eraAgeMs, unchangedMs, heldLast, storeNowMs } = view;
-  if (!isOfEra(row, era)) {
-    const lastOrderMs = leaseTtlMs + distanceMs(leaseMs) - eraAgeMs;
+  if (!isFromEra(row, era)) {
+    const lastOrderMs = leaseTtlMs + handoverDelayMs(leaseMs) - eraAgeMs;
     return heldLast ? 0 : Math.max(0, lastOrderMs, rewriteMs - unchangedMs);
   }
-  if (row === undefined || row.ordered !== undefined || isSame(row, candidate)) return 0;
-  return Math.max(0, row.untilMs + distanceMs(leaseMs) - storeNowMs);
+  if (row === undefined || row.ordered !== undefined || isSameHost(row, candidate)) return 0;
+  return Math.max(0, row.untilMs + handoverDelayMs(leaseMs) - storeNowMs);
 }
 
 /** Tokens given out in one era, at most. */
@@ -103,7 +103,7 @@
 }
 
 /** Is this the same host, perhaps after a restart? */
-export function isSame(row: LeaseRow, candidate: Candidate): boolean {
+export function isSameHost(row: LeaseRow, candidate: LeaseCandidate): boolean {
   return row.holder === candidate.host && row.ip === candidate.ip;
 }
 
@@ -116,7 +116,7 @@
   private sentMs = Number.NEGATIVE_INFINITY;
 
   /** An answer to a call sent at `sentMs` carried `nowMs`. */
-  learn(nowMs: number, sentMs: number): void {
+  update(nowMs: number, sentMs: number): void {
     this.readingMs = nowMs;
     this.sentMs = sentMs;
   }
@@ -132,7 +132,7 @@
   }
 
   /** The steady time, or a little earlier, at which the store's clock shows `storeMs`. */
-  steadyAt(storeMs: number): number {
+  monotonicAt(storeMs: number): number {
     return this.sentMs + (storeMs - this.readingMs);
   }
 }
--- a/src/serving/loadCeiling.ts
+++ b/src/serving/loadRateLimiter.ts
@@ -10,20 +10,20 @@
 const extra = 2;
 
 /** Counts loads begun in a sliding window. */
-export class LoadCeiling {
+export class LoadRateLimiter {
   private begun: number[] = [];
 
   constructor(private readonly options: LoadCeilingOptions) {}
 
   /** Loads that may begin now. */
-  left(perS: number, nowMs: number): number {
+  remaining(perS: number, nowMs: number): number {
     this.begun = this.begun.filter((at) => nowMs - at < this.options.windowMs);
     const most = Math.floor((perS * this.options.windowMs * this.options.overage) / 1000) + extra;
     return Math.max(0, most - this.begun.length);
   }
 
   /** A load began, or may begin. */
-  begin(nowMs: number): void {
+  record(nowMs: number): void {
     this.begun.push(nowMs);
   }
 }
--- a/src/serving/loadBoard.ts
+++ b/src/serving/loadTracker.ts
@@ -24,7 +24,7 @@
 export type LoadsMessage = typeof LoadsMessage.Type;
 
 /** A request in flight; `started` when its first event comes, `done` at its end. */
-export interface InFlight {
+export interface InFlightRequest {
   started(): void;
   done(): void;
 }
@@ -40,7 +40,7 @@
 const none: Load = { pendingMs: 0, requests: 0 };
 
 /** Sums of work in flight per server. */
-export class LoadBoard {
+export class LoadTracker {
   private readonly own = new Map<string, { pendingMs: number; requests: number }>();
   private readonly peers = new Map<string, { loads: Map<string, readonly [number, number]>; atMs: number }>();
   /** What peers were told last, and when they were told all of it, ms. */
@@ -48,7 +48,7 @@
   private toldWholeMs = Number.NEGATIVE_INFINITY;
 
   /** Counts a request as in flight at the server until its handle is done. */
-  begin(serverId: string, pendingMs: number): InFlight {
+  begin(serverId: string, pendingMs: number): InFlightRequest {
     const load = this.own.get(serverId) ?? { pendingMs: 0, requests: 0 };
     this.own.set(serverId, load);
     load.pendingMs += pendingMs;
@@ -71,7 +71,7 @@
   }
 
   /** Takes what a peer has in flight. */
-  learn({ ip, loads, whole }: LoadsMessage, nowMs: number): void {
+  applyPeerLoads({ ip, loads, whole }: LoadsMessage, nowMs: number): void {
     const known = whole ? undefined : this.peers.get(ip)?.loads;
     const merged = known ?? new Map<string, readonly [number, number]>();
     for (const [id, load] of Object.entries(loads)) {
@@ -82,7 +82,7 @@
   }
 
   /** This node's own load to tell peers now; undefined if they know it. */
-  news(nowMs: number): Pick<LoadsMessage, "loads" | "whole"> | undefined {
+  nextUpdate(nowMs: number): Pick<LoadsMessage, "loads" | "whole"> | undefined {
     const now = this.mine();
     const changed = changesBetween(this.told, now);
     const whole = nowMs - this.toldWholeMs >= wholeMs;
@@ -95,7 +95,7 @@
   }
 
   /** All work known to be in flight at the server. */
-  at(serverId: string, nowMs: number): Load {
+  loadOf(serverId: string, nowMs: number): Load {
     let { pendingMs, requests } = this.own.get(serverId) ?? none;
     for (const { loads, atMs } of this.peers.values()) {
       const load = nowMs - atMs > peerLoadMs ? undefined : loads.get(serverId);
