--- a/src/serving/membership/activeSet.ts
+++ b/src/serving/membership/activeSet.ts
@@ -46,7 +46,7 @@
   /** Active nodes heard from lately, without this one. */
   readonly active: readonly ActiveNode[];
   /** Nodes that may exist, active or not, dead or alive; this one may be among them. */
-  readonly listed: readonly Candidate[];
+  readonly knownNodes: readonly Candidate[];
   /** By how many nodes a zone may grow in a step. */
   readonly mostPerStep?: number | undefined;
 }
@@ -55,16 +55,16 @@
  * Is a node that stands by wanted? Then how many turns are to pass before it steps in, as nodes before it may be dead;
  * undefined if it isn't wanted. All that are wanted step in at the same turn, without word of each other.
  */
-export function turnToActivate({
+export function turnsBeforeActivation({
   self,
   active,
-  listed,
+  knownNodes: listed,
   mostPerStep = defaultStep,
 }: MembershipView): number | undefined {
-  if (isFew(listed)) return 0;
+  if (isSmallFleet(listed)) return 0;
   const inZone = active.filter((node) => node.zone === self.zone);
   const least = leastInZone(self, active, listed);
-  if (inZone.length >= least && !isCrowded(inZone)) return undefined;
+  if (inZone.length >= least && !isOverutilized(inZone)) return undefined;
   const known = new Set([self, ...active].map((node) => node.ip));
   const others = listed.filter((node) => node.zone === self.zone && !known.has(node.ip));
   const waiting = [...others, self].sort((a, b) => (comesBefore(a, b) ? -1 : 1));
@@ -80,7 +80,7 @@
   waiting: readonly Candidate[],
   { least, mostPerStep }: { readonly least: number; readonly mostPerStep: number },
 ): number {
-  const wanted = isCrowded(inZone) ? used(inZone) / targetPart : 0;
+  const wanted = isOverutilized(inZone) ? used(inZone) / targetPart : 0;
   let reached = strength(inZone);
   let places = 0;
   for (const node of waiting) {
@@ -95,8 +95,12 @@
  * May an active node retire to stand by? Then how many others of its zone are to retire before it; undefined if it has to
  * stay. The nodes before it alone must be able to carry the load, so they still can if several retire at once.
  */
-export function turnToRetire({ self, active, listed }: MembershipView): number | undefined {
-  if (isFew(listed)) return undefined;
+export function turnsBeforeRetirement({
+  self,
+  active,
+  knownNodes: listed,
+}: MembershipView): number | undefined {
+  if (isSmallFleet(listed)) return undefined;
   const inZone = active.filter((node) => node.zone === self.zone);
   const ahead = inZone.filter((node) => comesBefore(node, self));
   if (ahead.length < leastInZone(self, active, listed)) return undefined;
@@ -106,7 +110,7 @@
 
 /** The nodes of each zone that come first, some more than need to be active: those to look for at a start. */
 export function likelyActive(self: Candidate, listed: readonly Candidate[]): readonly Candidate[] {
-  if (isFew(listed)) return listed;
+  if (isSmallFleet(listed)) return listed;
   const wanted = 2 * leastInZone(self, [], listed);
   return listed.filter((node) => {
     const ahead = listed.filter((other) => other.zone === node.zone && comesBefore(other, node));
@@ -115,7 +119,7 @@
 }
 
 /** Are there so few nodes that all of them are active? */
-export function isFew(listed: readonly Candidate[]): boolean {
+export function isSmallFleet(listed: readonly Candidate[]): boolean {
   return listed.length <= fewNodes;
 }
 
@@ -125,7 +129,7 @@
 }
 
 /** Do the nodes use so much of their processor time that more are wanted? */
-export function isCrowded(nodes: readonly ActiveNode[]): boolean {
+export function isOverutilized(nodes: readonly ActiveNode[]): boolean {
   return used(nodes) > crowdedPart * strength(nodes);
 }
 
@@ -135,8 +139,8 @@
 }
 
 /** How crowded the nodes of a zone are, in coarse steps; 0 if they aren't. */
-export function crowdingOf(nodes: readonly ActiveNode[]): number {
-  return isCrowded(nodes) ? Math.floor(used(nodes) / strength(nodes) / crowdingStep) : 0;
+export function overutilizationLevel(nodes: readonly ActiveNode[]): number {
+  return isOverutilized(nodes) ? Math.floor(used(nodes) / strength(nodes) / crowdingStep) : 0;
 }
 
 function used(nodes: readonly ActiveNode[]): number {
--- a/src/serving/membership/peerTable.ts
+++ b/src/serving/membership/peerTable.ts
@@ -4,14 +4,14 @@
  */
 import * as crypto from "node:crypto";
 import * as Schema from "effect/Schema";
-import type { Sharers } from "../retryBudget.ts";
+import type { BudgetShare } from "../retryBudget.ts";
 import { StorePosition } from "../storePosition.ts";
 import { isFull } from "./directory.ts";
 import { ownerOf } from "./owner.ts";
-import { isFew, likelyActive, type ActiveNode, type Candidate } from "./activeSet.ts";
+import { isSmallFleet, likelyActive, type ActiveNode, type Candidate } from "./activeSet.ts";
 
 /** What callers ask of a node. */
-export const Asked = Schema.Struct({
+export const CallerDemand = Schema.Struct({
   /** Engine ms asked for per second, by demand key. */
   demand: Schema.Record(Schema.String, Schema.Number),
   /** Requests that wait for a model, by demand key. */
@@ -22,7 +22,7 @@
   running: Schema.Record(Schema.String, Schema.Number),
 });
 /** Decoded demand of a node. */
-export type Asked = typeof Asked.Type;
+export type CallerDemand = typeof CallerDemand.Type;
 
 const rosterStanding = {
   host: Schema.String,
@@ -48,7 +48,7 @@
 };
 
 /** How an active node stands, as nodes that stand by need to know it. */
-export const RosterStanding = Schema.Struct(rosterStanding);
+export const RosterNodeStatus = Schema.Struct(rosterStanding);
 
 const standing = {
   ...rosterStanding,
@@ -59,12 +59,12 @@
 };
 
 /** How an active node stands. */
-export const Standing = Schema.Struct(standing);
+export const NodeStatus = Schema.Struct(standing);
 /** A decoded standing. */
-export type Standing = typeof Standing.Type;
+export type NodeStatus = typeof NodeStatus.Type;
 
 /** What an active node tells the others a few times a second; one that stands by tells only the lease holder. */
-export const Pulse = Schema.Struct({
+export const Heartbeat = Schema.Struct({
   ...standing,
   /** Does it take callers, rather than stand by? */
   active: Schema.Boolean,
@@ -75,10 +75,10 @@
   /** What it has learned of models' paces: pace and observations by kind. */
   paces: Schema.optionalKey(Schema.Record(Schema.String, Schema.Tuple([Schema.Number, Schema.Number]))),
   /** Only told to the holder of the placement lease, as nobody else uses it. */
-  asked: Schema.optionalKey(Asked),
+  asked: Schema.optionalKey(CallerDemand),
 });
 /** A decoded pulse. */
-export type Pulse = typeof Pulse.Type;
+export type Heartbeat = typeof Heartbeat.Type;
 
 /** The active nodes as one node knows them, for a node that stands by. */
 export const Roster = Schema.Struct({
@@ -101,7 +101,7 @@
   digest: Schema.String,
   /** Each with the time since it was heard, ms; absent if the asking node has them already. */
   entries: Schema.optionalKey(
-    Schema.Array(Schema.Struct({ standing: RosterStanding, ageMs: Schema.Number })),
+    Schema.Array(Schema.Struct({ standing: RosterNodeStatus, ageMs: Schema.Number })),
   ),
 });
 /** A decoded roster. */
@@ -122,8 +122,8 @@
 
 /** A peer as last heard. */
 export interface Peer {
-  readonly pulse: Standing;
-  readonly heardMs: number;
+  readonly status: NodeStatus;
+  readonly lastHeardMs: number;
 }
 
 /** Where a peer listens. */
@@ -155,65 +155,67 @@
   constructor(private readonly self: Candidate) {}
 
   /** Takes a pulse; false if it is older than what is known. */
-  hear(pulse: Pulse, nowMs: number): boolean {
+  recordHeartbeat(pulse: Heartbeat, nowMs: number): boolean {
     if (this.isFromBefore(pulse, nowMs)) return false;
-    if (pulse.active) this.peers.set(pulse.ip, { pulse, heardMs: nowMs });
+    if (pulse.active) this.peers.set(pulse.ip, { status: pulse, lastHeardMs: nowMs });
     else this.peers.delete(pulse.ip);
     return true;
   }
 
   /** Takes the active nodes as `teller` hears them. */
-  hearRoster(teller: string, entries: readonly Peer[]): void {
-    const named = new Set(entries.map(({ pulse }) => pulse.ip));
+  applyRoster(teller: string, entries: readonly Peer[]): void {
+    const named = new Set(entries.map(({ status: pulse }) => pulse.ip));
     // One that it doesn't hear any more is dead, though its last word from here is younger.
     for (const ip of this.rosters.get(teller) ?? []) if (!named.has(ip)) this.peers.delete(ip);
     this.rosters.set(teller, named);
     for (const entry of entries) {
-      const known = this.peers.get(entry.pulse.ip);
-      if (entry.pulse.ip === this.self.ip || this.isFromBefore(entry.pulse, entry.heardMs)) continue;
-      if ((known?.heardMs ?? Number.NEGATIVE_INFINITY) < entry.heardMs) this.peers.set(entry.pulse.ip, entry);
+      const known = this.peers.get(entry.status.ip);
+      if (entry.status.ip === this.self.ip || this.isFromBefore(entry.status, entry.lastHeardMs)) continue;
+      if ((known?.lastHeardMs ?? Number.NEGATIVE_INFINITY) < entry.lastHeardMs)
+        this.peers.set(entry.status.ip, entry);
     }
   }
 
   /** The teller hears the same nodes as when it told last. */
-  hearAgain(teller: string, nowMs: number): void {
+  confirmRoster(teller: string, nowMs: number): void {
     for (const ip of this.rosters.get(teller) ?? []) {
       const known = this.peers.get(ip);
-      if (known !== undefined) this.peers.set(ip, { ...known, heardMs: Math.max(known.heardMs, nowMs) });
+      if (known !== undefined)
+        this.peers.set(ip, { ...known, lastHeardMs: Math.max(known.lastHeardMs, nowMs) });
     }
   }
 
   /** Learns of a node that may be active. */
-  seek(address: PeerAddress, nowMs: number): void {
+  addContact(address: PeerAddress, nowMs: number): void {
     if (address.ip === this.self.ip) return;
     this.sought.set(address.ip, { address: { ip: address.ip, port: address.port }, sinceMs: nowMs });
   }
 
   /** Learns all nodes that the store lists. */
-  list(nodes: readonly Member[], nowMs: number): void {
+  addListedNodes(nodes: readonly Member[], nowMs: number): void {
     for (const node of nodes) this.nodes.set(node.ip, node);
-    const likely = new Set(likelyActive(this.self, this.listed).map((node) => node.ip));
-    for (const node of nodes) if (likely.has(node.ip)) this.seek(node, nowMs);
+    const likely = new Set(likelyActive(this.self, this.knownNodes).map((node) => node.ip));
+    for (const node of nodes) if (likely.has(node.ip)) this.addContact(node, nowMs);
   }
 
   /** Learns of a node that lives. */
-  meet(node: Member): void {
+  addLiveNode(node: Member): void {
     this.nodes.set(node.ip, node);
   }
 
   /** Nodes that may exist: listed ones, those heard of, and this one. */
-  get listed(): readonly Candidate[] {
+  get knownNodes(): readonly Candidate[] {
     return [...new Map<string, Candidate>([...this.others(), [this.self.ip, this.self]]).values()];
   }
 
   /** The same as rows of the store's list. */
-  members(self: Member): Member[] {
+  memberRows(self: Member): Member[] {
     return [...new Map([...this.others(), [self.ip, self]]).values()];
   }
 
   /** Active nodes heard from lately. */
   alive(nowMs: number): Peer[] {
-    return [...this.peers.values()].filter(({ pulse, heardMs }) => {
+    return [...this.peers.values()].filter(({ status: pulse, lastHeardMs: heardMs }) => {
       const ageMs = nowMs - heardMs;
       return ageMs < silentMs || (ageMs < untoldMs && this.isTold(pulse.ip));
     });
@@ -221,48 +223,52 @@
 
   /** The same, as membership decides by them. */
   active(nowMs: number): ActiveNode[] {
-    return this.alive(nowMs).map(({ pulse }) => pulse);
+    return this.alive(nowMs).map(({ status: pulse }) => pulse);
   }
 
   /**
    * The nodes that share bounds over all nodes with this one. Nodes that stand by share a small part among themselves:
    * there may be many of them, and hardly any request comes to one.
    */
-  sharers(active: boolean, nowMs: number): Sharers {
-    const alive = new Set(this.alive(nowMs).map(({ pulse }) => pulse.ip));
-    const { listed } = this;
-    const part = isFew(listed) ? 1 : active ? 1 - standbyPart : standbyPart;
+  budgetShare(active: boolean, nowMs: number): BudgetShare {
+    const alive = new Set(this.alive(nowMs).map(({ status: pulse }) => pulse.ip));
+    const { knownNodes: listed } = this;
+    const part = isSmallFleet(listed) ? 1 : active ? 1 - standbyPart : standbyPart;
     const nodes = active ? [...alive] : listed.map(({ ip }) => ip).filter((ip) => !alive.has(ip));
     const others = nodes.filter((ip) => ip !== this.self.ip);
-    return { count: others.length + 1, rank: others.filter((ip) => ip < this.self.ip).length, part };
+    return {
+      count: others.length + 1,
+      rank: others.filter((ip) => ip < this.self.ip).length,
+      fraction: part,
+    };
   }
 
   /** A node didn't answer: it counts as dead until it is heard of again. */
-  drop(ip: string): void {
+  markDead(ip: string): void {
     this.peers.delete(ip);
     this.rosters.delete(ip);
   }
 
   /** This node is active and hears the others itself from now on. */
-  forgetRosters(): void {
+  clearRosters(): void {
     this.rosters.clear();
   }
 
   /** The node that answers for the key: a ready one among those alive, or this one if it `mayOwn` or knows of none. */
   owner(key: string, self: PeerAddress, mayOwn: boolean, nowMs: number): PeerAddress {
-    const ready = this.alive(nowMs).filter(({ pulse }) => pulse.ready);
-    const nodes = new Map<string, PeerAddress>(ready.map(({ pulse }) => [pulse.ip, pulse]));
+    const ready = this.alive(nowMs).filter(({ status: pulse }) => pulse.ready);
+    const nodes = new Map<string, PeerAddress>(ready.map(({ status: pulse }) => [pulse.ip, pulse]));
     if (mayOwn) nodes.set(self.ip, self);
     return nodes.get(ownerOf(key, [...nodes.keys()]) ?? "") ?? self;
   }
 
   /** Addresses to tell of this node: alive ones, and at times those that may come back. */
-  audience(nowMs: number, everyone: boolean): PeerAddress[] {
+  recipients(nowMs: number, everyone: boolean): PeerAddress[] {
     const addresses = new Map<string, PeerAddress>();
-    for (const peer of this.alive(nowMs)) addresses.set(peer.pulse.ip, peer.pulse);
+    for (const peer of this.alive(nowMs)) addresses.set(peer.status.ip, peer.status);
     if (!everyone) return [...addresses.values()];
     for (const peer of this.peers.values()) {
-      if (nowMs - peer.heardMs < forgetMs) addresses.set(peer.pulse.ip, peer.pulse);
+      if (nowMs - peer.lastHeardMs < forgetMs) addresses.set(peer.status.ip, peer.status);
     }
     for (const { address, sinceMs } of this.sought.values()) {
       if (nowMs - sinceMs < forgetMs) addresses.set(address.ip, address);
@@ -273,18 +279,18 @@
   }
 
   /** Active nodes that one that stands by asks, best first: those of its zone, spread evenly over them. */
-  anchors(nowMs: number): PeerAddress[] {
-    const rank = ({ pulse }: Peer): string =>
+  rosterSources(nowMs: number): PeerAddress[] {
+    const rank = ({ status: pulse }: Peer): string =>
       `${pulse.zone === this.self.zone ? 0 : 1} ${digestOf([this.self.ip, pulse.ip])}`;
     return this.alive(nowMs)
       .map((peer) => ({ peer, rank: rank(peer) }))
       .sort((a, b) => (a.rank < b.rank ? -1 : 1))
-      .map(({ peer }) => peer.pulse);
+      .map(({ peer }) => peer.status);
   }
 
   /** Identifies who is active and how they stand, without what changes all the time. */
   digest(nowMs: number): string {
-    const entries = this.alive(nowMs).map(({ pulse }) => {
+    const entries = this.alive(nowMs).map(({ status: pulse }) => {
       const { ip, boot, ready, token } = pulse;
       return `${ip} ${boot} ${String(ready)} ${String(isFull(pulse))} ${token ?? ""}`;
     });
@@ -292,9 +298,9 @@
   }
 
   /** The holder of the placement lease among live peers: the newest token wins. */
-  holder(nowMs: number): Standing | undefined {
-    let found: Standing | undefined;
-    for (const { pulse } of this.alive(nowMs)) {
+  leaseHolder(nowMs: number): NodeStatus | undefined {
+    let found: NodeStatus | undefined;
+    for (const { status: pulse } of this.alive(nowMs)) {
       if (pulse.token === undefined) continue;
       if (found?.token === undefined || pulse.token > found.token) found = pulse;
     }
@@ -308,7 +314,7 @@
 
   /** Listed nodes and those heard of. */
   private others(): [string, Member][] {
-    const heard = [...this.peers.values()].map(({ pulse }): [string, Member] => [pulse.ip, pulse]);
+    const heard = [...this.peers.values()].map(({ status: pulse }): [string, Member] => [pulse.ip, pulse]);
     return [...heard, ...this.nodes];
   }
 
@@ -316,9 +322,9 @@
    * Is the word older than a restart of its node that is known? Guards "a restarted node is taken for dead": its time of
    * day may have been set back, so a later start looks like an earlier one. Its earlier life is silent by then.
    */
-  private isFromBefore({ ip, boot }: Standing, nowMs: number): boolean {
+  private isFromBefore({ ip, boot }: NodeStatus, nowMs: number): boolean {
     const known = this.peers.get(ip);
-    return known !== undefined && known.pulse.boot > boot && nowMs - known.heardMs < silentMs;
+    return known !== undefined && known.status.boot > boot && nowMs - known.lastHeardMs < silentMs;
   }
 }
 
--- a/src/serving/membership/readers.ts
+++ b/src/serving/membership/storeReaders.ts
@@ -7,20 +7,20 @@
 /** Nodes that read: two, so that one may die without a change coming late. */
 const readerCount = 2;
 /** A peer whose last read is older than this, ms, reads no more: two missed periods. */
-export const freshMs = 1_300;
+export const maxFreshReadAgeMs = 1_300;
 
 /** A node that could read. */
-export interface Reader {
+export interface StoreReader {
   readonly ip: string;
   /** Holds the placement lease; it needs to know first. */
-  readonly holder: boolean;
+  readonly isLeaseHolder: boolean;
   /** Time since its last successful read, ms; infinite if the store doesn't answer it. */
   readonly readAgeMs: number;
 }
 
 /** Should `self` read the store now? */
-export function shouldRead(self: Reader, peers: readonly Reader[]): boolean {
-  const fresh = peers.filter((peer) => peer.readAgeMs < freshMs);
+export function shouldReadStore(self: StoreReader, peers: readonly StoreReader[]): boolean {
+  const fresh = peers.filter((peer) => peer.readAgeMs < maxFreshReadAgeMs);
   if (fresh.length === 0) return true;
   // A node that can't read keeps trying only while nobody else can.
   if (self.readAgeMs === Number.POSITIVE_INFINITY) return false;
@@ -28,7 +28,7 @@
   return ahead.length < readerCount;
 }
 
-function comesBefore(a: Reader, b: Reader): boolean {
-  if (a.holder !== b.holder) return a.holder;
+function comesBefore(a: StoreReader, b: StoreReader): boolean {
+  if (a.isLeaseHolder !== b.isLeaseHolder) return a.isLeaseHolder;
   return a.ip < b.ip;
 }
--- a/src/serving/orders.ts
+++ b/src/serving/orders.ts
@@ -49,9 +49,9 @@
 }
 
 /** Speaks to engines. A rejection means that the order may have been accepted, or may still be. */
-export interface Engines {
+export interface EngineApi {
   /** Fired with each answer. */
-  readonly heard: Emitter<EngineNotice>;
+  readonly noticeReceived: Emitter<EngineNotice>;
   order(target: OrderTarget, order: Order): Promise<OrderOutcome>;
   report(target: OrderTarget): Promise<EngineReport>;
 }
--- a/src/serving/outliers.ts
+++ b/src/serving/outlierDetector.ts
@@ -35,11 +35,11 @@
 }
 
 /** Answers per server, judged. */
-export class Outliers {
+export class OutlierDetector {
   private readonly records = new Map<string, AnswerRecord>();
 
   /** The server answered as it should. */
-  succeeded(serverId: string, observedMs: number, expectedMs: number): void {
+  recordSuccess(serverId: string, observedMs: number, expectedMs: number): void {
     const record = this.record(serverId);
     record.consecutive = 0;
     record.ejectedUntilMs = 0;
@@ -52,13 +52,13 @@
    * The server gave no first byte within `waitedMs`: it is at least that much slower than expected. Guards
    * "an engine that answers nobody in time looks as fast as before", as those it doesn't answer say nothing else.
    */
-  late(serverId: string, waitedMs: number, expectedMs: number): void {
+  recordTimeout(serverId: string, waitedMs: number, expectedMs: number): void {
     const record = this.record(serverId);
     if (waitedMs > expectedMs * record.slowdown) this.slowed(record, waitedMs, expectedMs);
   }
 
   /** The server failed a request that another server might have served. */
-  failed(serverId: string, nowMs: number): void {
+  recordFailure(serverId: string, nowMs: number): void {
     const record = this.record(serverId);
     record.consecutive += 1;
     record.failureShare += (1 - record.failureShare) * newest;
@@ -66,7 +66,7 @@
   }
 
   /** The server could not be reached at all: taken out at once. */
-  unreachable(serverId: string, nowMs: number): void {
+  recordUnreachable(serverId: string, nowMs: number): void {
     const record = this.record(serverId);
     record.consecutive += 1;
     this.eject(record, record.consecutive - 1, nowMs);
@@ -87,7 +87,7 @@
   }
 
   /** Drops what is known of the server. */
-  forget(serverId: string): void {
+  remove(serverId: string): void {
     this.records.delete(serverId);
   }
 
--- a/src/serving/overload.ts
+++ b/src/serving/overload.ts
@@ -31,7 +31,7 @@
   }
 
   /** Takes a turn that ended at `nowMs`; true if the state changed. */
-  note(tookMs: number, nowMs: number): boolean {
+  recordTurn(tookMs: number, nowMs: number): boolean {
     const stepMs = Math.min(longestStepMs, nowMs - (this.lastMs ?? nowMs));
     this.lastMs = nowMs;
     const long = tookMs > longTurnMs ? 1 : 0;
@@ -47,7 +47,7 @@
   /** For how long the request may have been waiting, ms. */
   readonly ageMs: number;
   /** How long its caller waits for a first byte, ms. */
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
   readonly targetMs: number;
   readonly overloaded: boolean;
 }
@@ -56,7 +56,12 @@
  * Is the request too old to begin? While the node is overloaded those that can still be answered in time go first, and
  * what is begun in one turn is bounded by their age.
  */
-export function isShed({ ageMs, patienceMs, targetMs, overloaded }: SheddingView): boolean {
+export function shouldShed({
+  ageMs,
+  callerTimeoutMs: patienceMs,
+  targetMs,
+  overloaded,
+}: SheddingView): boolean {
   const limitMs = Math.max(vagueAgeMs, patiencePart * patienceMs);
   return ageMs > (overloaded ? Math.min(limitMs, Math.max(leastAgeMs, targetPart * targetMs)) : limitMs);
 }
--- a/src/serving/permits/permitIssuer.ts
+++ b/src/serving/permits/permitIssuer.ts
@@ -5,13 +5,13 @@
  */
 import * as Schema from "effect/Schema";
 import { TokenBucket } from "../../common/tokenBucket.ts";
-import { LimitWord } from "../serverNotices.ts";
+import { ObservedRateLimit } from "../serverNotices.ts";
 
 /** What a node wants of one server. */
-export const PermitAsk = Schema.Struct({
+export const PermitRequest = Schema.Struct({
   /** The server's incarnation. */
   server: Schema.String,
-  limit: LimitWord,
+  limit: ObservedRateLimit,
   /** Requests that wait for a permit. */
   waiting: Schema.Number,
   /** For how long the first of them has waited, ms. */
@@ -20,7 +20,7 @@
   spare: Schema.Boolean,
 });
 /** A decoded ask. */
-export type PermitAsk = typeof PermitAsk.Type;
+export type PermitRequest = typeof PermitRequest.Type;
 
 /** Permits for one node. */
 export interface Issue {
@@ -55,7 +55,7 @@
   private readonly buckets = new Map<string, Bucket>();
 
   /** Takes what a node wants of the server, which accepts `perS` requests per second. */
-  hear(node: string, ask: PermitAsk, perS: number, nowMs: number): void {
+  recordRequest(node: string, ask: PermitRequest, perS: number, nowMs: number): void {
     const bucket = this.bucket(ask.server, perS, nowMs);
     const { waiting, waitedMs, spare } = ask;
     bucket.askers.set(node, { waiting, spare, sinceMs: nowMs - waitedMs, askedMs: nowMs });
@@ -84,16 +84,16 @@
   }
 
   /** Servers for which somebody wants a permit. */
-  asked(nowMs: number): string[] {
+  requestedServers(nowMs: number): string[] {
     return [...this.buckets].filter(([, bucket]) => nextAsker(bucket, nowMs)).map(([server]) => server);
   }
 
   /** Until the server's next permit, ms. */
-  dueMs(server: string, nowMs: number): number {
+  nextPermitMs(server: string, nowMs: number): number {
     const bucket = this.buckets.get(server);
     if (bucket === undefined) return Number.POSITIVE_INFINITY;
     fill(bucket, nowMs);
-    return (bucket.tokens.missing / bucket.perS) * 1000;
+    return (bucket.tokens.deficit / bucket.perS) * 1000;
   }
 
   /** Drops what is kept of servers that are gone. */
--- a/src/serving/permits/permits.ts
+++ b/src/serving/permits/permits.ts
@@ -3,7 +3,7 @@
 import type { Disposable } from "../../common/disposables.ts";
 import { incarnationOf } from "../backendServer.ts";
 import type { Incarnation, ServerNotices } from "../serverNotices.ts";
-import { leastPerS, type PermitAsk } from "./permitIssuer.ts";
+import { leastPerS, type PermitRequest } from "./permitIssuer.ts";
 
 /** A permit is used within this time or not at all, ms: unused ones must not add up to a burst. */
 const permitMs = 1_000;
@@ -27,7 +27,7 @@
 /** Permits by server. */
 export class Permits {
   /** What this node wants has changed. */
-  readonly wanted = new Emitter<undefined>();
+  readonly demandChanged = new Emitter<undefined>();
   private readonly servers = new Map<string, ServerPermits>();
 
   constructor(private readonly notices: ServerNotices) {}
@@ -38,7 +38,7 @@
   }
 
   /** A request is sent: uses a permit up where the server names a limit. */
-  spend(server: Incarnation): void {
+  consume(server: Incarnation): void {
     if (this.notices.limitPerS(server) !== undefined)
       this.servers.get(incarnationOf(server))?.expireMs.shift();
   }
@@ -48,28 +48,28 @@
     const waiter = { sinceMs };
     const waitedFor = servers.map((server) => this.of(incarnationOf(server)).waiting);
     for (const waiting of waitedFor) waiting.add(waiter);
-    this.wanted.fire(undefined);
+    this.demandChanged.fire(undefined);
     return {
       dispose: () => {
         for (const waiting of waitedFor) waiting.delete(waiter);
-        this.wanted.fire(undefined);
+        this.demandChanged.fire(undefined);
       },
     };
   }
 
   /** A request was sent elsewhere that these servers could have served. */
-  wantSpare(servers: readonly Incarnation[], nowMs: number): void {
+  requestSpare(servers: readonly Incarnation[], nowMs: number): void {
     for (const server of servers) {
       const permits = this.of(incarnationOf(server));
       permits.spareUntilMs = nowMs + spareMs;
-      if (!permits.toldWanted) this.wanted.fire(undefined);
+      if (!permits.toldWanted) this.demandChanged.fire(undefined);
     }
   }
 
   /** What to ask of the issuers now. */
-  asks(nowMs: number): PermitAsk[] {
+  collectRequests(nowMs: number): PermitRequest[] {
     return [...this.servers].flatMap(([server, permits]) => {
-      const limit = this.notices.limitWord(server, nowMs);
+      const limit = this.notices.observedLimit(server, nowMs);
       const inHand = this.inHand(server, nowMs);
       const waiting = Math.max(0, permits.waiting.size - inHand);
       const spare = inHand === 0 && permits.spareUntilMs > nowMs;
@@ -84,14 +84,14 @@
   }
 
   /** Takes permits for the server, and the requests that wait for it on all nodes. */
-  take(server: string, permits: number, backlog: number, nowMs: number): void {
+  addGranted(server: string, permits: number, backlog: number, nowMs: number): void {
     const known = this.of(server);
     for (let i = 0; i < permits; i += 1) known.expireMs.push(nowMs + permitMs);
     known.backlog = { requests: backlog, atMs: nowMs };
   }
 
   /** Until a request that begins to wait now is permitted to go to the server, ms, as far as is known. */
-  expectedMs(server: Incarnation, nowMs: number): number {
+  expectedWaitMs(server: Incarnation, nowMs: number): number {
     const perS = this.notices.limitPerS(server);
     if (perS === undefined) return 0;
     const permits = this.servers.get(incarnationOf(server));
--- a/src/serving/placementCost.ts
+++ b/src/serving/placementCost.ts
@@ -227,7 +227,7 @@
 
 /** Models that the engine holds or could load without the weight store. */
 function nearTo(engine: EngineView): Set<string> {
-  return new Set([...engine.atHand, ...engine.models]);
+  return new Set([...engine.cachedModels, ...engine.models]);
 }
 
 /**
--- a/src/serving/placementPlan.ts
+++ b/src/serving/placementPlan.ts
@@ -158,13 +158,13 @@
   private couldTake(index: number, { name }: Model): boolean {
     const engine = this.engines[index];
     if (engine === undefined || engine.busy || !lacks(engine, name)) return false;
-    return this.loadsLeft >= 1 || engine.atHand.has(name);
+    return this.loadsLeft >= 1 || engine.cachedModels.has(name);
   }
 
   private optionsAt(before: number, index: number, model: Model): Option[] {
     const engine = this.engines[index];
     if (engine === undefined) return [];
-    const atHand = engine.atHand.has(model.name);
+    const atHand = engine.cachedModels.has(model.name);
     const loadCost = atHand ? atHandLoadCost : storeLoadCost;
     const loadS = atHand ? atHandLoadS : model.loadS;
     const adapters = this.adapterWaits(engine);
@@ -194,7 +194,7 @@
     if (missingMb <= 0) return [[]];
     if (!this.view.mayEvict) return [];
     const names = [...engine.models]
-      .filter((name) => !engine.unsettled.has(name) && name !== model.name)
+      .filter((name) => !engine.recentlyChanged.has(name) && name !== model.name)
       .slice(0, mostEvictable);
     const sizes = names.map((name) => this.sizesMb.get(name) ?? 0);
     const found: string[][] = [];
@@ -229,10 +229,10 @@
    */
   private reservedMove(index: number): Move | undefined {
     const engine = this.engines[index];
-    const model = this.view.models.find((m) => m.name === engine?.roomFor);
+    const model = this.view.models.find((m) => m.name === engine?.reservedFor);
     if (engine === undefined || model === undefined || engine.busy) return undefined;
     if (engine.freeMb < model.sizeMb) return this.furtherEviction(index, model);
-    if (this.loadsLeft < 1 && !engine.atHand.has(model.name)) return undefined;
+    if (this.loadsLeft < 1 && !engine.cachedModels.has(model.name)) return undefined;
     return { engineId: engine.id, action: "load", reason: "demand", ...this.standing(model.name) };
   }
 
@@ -249,7 +249,7 @@
     const after = engineAfter(before, move);
     this.engines[index] = after;
     this.placement.replace(index, before, after);
-    if (move.action === "load" && !before.atHand.has(move.model)) this.loadsLeft -= 1;
+    if (move.action === "load" && !before.cachedModels.has(move.model)) this.loadsLeft -= 1;
     return move;
   }
 
@@ -262,8 +262,8 @@
 
 /** Is the engine one that could be given the model? */
 function lacks(engine: EngineView, model: string): boolean {
-  if (engine.roomFor !== undefined) return false;
-  return !engine.models.has(model) && !engine.coming.has(model) && !engine.unsettled.has(model);
+  if (engine.reservedFor !== undefined) return false;
+  return !engine.models.has(model) && !engine.pendingLoads.has(model) && !engine.recentlyChanged.has(model);
 }
 
 function draining(engine: EngineView, name: string): number {
@@ -277,8 +277,8 @@
 
 function engineAfter(engine: EngineView, move: Move): EngineView {
   const models = new Set(engine.models);
-  const coming = new Set(engine.coming);
+  const coming = new Set(engine.pendingLoads);
   if (move.action === "load") coming.add(move.model);
   else models.delete(move.model);
-  return { ...engine, models, coming, busy: true, roomFor: move.inFavourOf };
+  return { ...engine, models, pendingLoads: coming, busy: true, reservedFor: move.inFavourOf };
 }
--- a/src/serving/placementView.ts
+++ b/src/serving/placementView.ts
@@ -7,19 +7,19 @@
   /** Models in memory that are to stay. */
   readonly models: ReadonlySet<string>;
   /** Models ordered whose load is not confirmed. */
-  readonly coming: ReadonlySet<string>;
+  readonly pendingLoads: ReadonlySet<string>;
   /** The model for which another was unloaded here. */
-  readonly roomFor: string | undefined;
+  readonly reservedFor: string | undefined;
   /** Requests in flight by model. */
   readonly running: ReadonlyMap<string, number>;
   /** Models that came or went so lately that the engine's registration may not show it. */
-  readonly unsettled: ReadonlySet<string>;
+  readonly recentlyChanged: ReadonlySet<string>;
   /** Memory left if every load under way succeeds and no unload has, MB. */
   readonly freeMb: number;
   /** An order is under way, so that no other is taken. */
   readonly busy: boolean;
   /** Models it can load without the weight store. */
-  readonly atHand: ReadonlySet<string>;
+  readonly cachedModels: ReadonlySet<string>;
 }
 
 /** Demand for one model. */
@@ -63,7 +63,7 @@
 
 /** Models that the engine holds, is being given, or keeps room for. */
 export function heldBy(engine: EngineView): Set<string> {
-  const held = new Set([...engine.models, ...engine.coming]);
-  if (engine.roomFor !== undefined) held.add(engine.roomFor);
+  const held = new Set([...engine.models, ...engine.pendingLoads]);
+  if (engine.reservedFor !== undefined) held.add(engine.reservedFor);
   return held;
 }
--- a/src/serving/modelPace.ts
+++ b/src/serving/prefillFactors.ts
@@ -32,16 +32,16 @@
 }
 
 /** What one node has learned, by kind: pace and observations. */
-export type PeerPaces = Readonly<Record<string, readonly [number, number]>>;
+export type PeerPrefillFactors = Readonly<Record<string, readonly [number, number]>>;
 
 /** Pace per kind of model: time taken over time expected at the reference speed. */
-export class ModelPaces {
+export class PrefillFactors {
   private readonly own = new Map<string, Learned>();
   private overhead = initialOverheadMs;
-  private readonly peers = new Map<string, PeerPaces>();
+  private readonly peers = new Map<string, PeerPrefillFactors>();
 
   /** The pace of a model; a middling one before its kind is known. */
-  pace(model: Model | undefined): number {
+  factorOf(model: Model | undefined): number {
     if (model === undefined) return 1;
     const kind = kindOf(model);
     let sum = initial * initialWeight;
@@ -68,9 +68,9 @@
    * The first byte came after `observedMs` while, as far as is known, no other prompt was read; reading its own takes
    * `readingMs` at pace 1.
    */
-  learn(model: Model, observedMs: number, readingMs: number): void {
+  observe(model: Model, observedMs: number, readingMs: number): void {
     if (readingMs < leastReadingMs) {
-      const beside = Math.max(1, observedMs - readingMs * this.pace(model));
+      const beside = Math.max(1, observedMs - readingMs * this.factorOf(model));
       this.overhead += (beside - this.overhead) * (beside < this.overhead ? fasterStep : slowerStep);
       return;
     }
@@ -83,12 +83,12 @@
   }
 
   /** What this node has learned, to tell peers. */
-  mine(): PeerPaces {
+  snapshot(): PeerPrefillFactors {
     return Object.fromEntries([...this.own].map(([kind, a]) => [kind, [Number(a.pace.toFixed(2)), a.count]]));
   }
 
   /** Takes what a peer has learned. */
-  hear(peer: string, paces: PeerPaces): void {
+  applyPeerFactors(peer: string, paces: PeerPrefillFactors): void {
     this.peers.set(peer, paces);
   }
 }
--- a/src/serving/quarantine/holds.ts
+++ b/src/serving/quarantine/quarantineList.ts
@@ -3,7 +3,7 @@
  * mended meanwhile (a new version of the server); the first server that ends under the request then holds it again, for
  * twice as long. So even a request that comes for ever ends only a few servers.
  */
-import { isAfter, latest, type StorePosition } from "../storePosition.ts";
+import { isAfter, laterOf, type StorePosition } from "../storePosition.ts";
 
 /** First time a request is held back, ms: longer than callers repeat by themselves. */
 const firstHoldMs = 600_000;
@@ -59,7 +59,7 @@
   }
 
   /** Requests held back now. */
-  inForce(nowMs: number): number {
+  activeCount(nowMs: number): number {
     return [...this.entries.values()].filter(({ untilMs }) => untilMs > nowMs).length;
   }
 
@@ -103,7 +103,7 @@
   ): void {
     const known = this.entries.get(fingerprint);
     const newest =
-      known?.row === undefined || row === undefined ? (row ?? known?.row) : latest(known.row, row);
+      known?.row === undefined || row === undefined ? (row ?? known?.row) : laterOf(known.row, row);
     // Guards "a hold ends early": word of the hold before may come after that of the next, which is longer.
     if (known !== undefined && known.forMs > forMs) {
       this.set(fingerprint, { ...known, row: newest });
@@ -140,7 +140,7 @@
   }
 
   /** Holds whose rows were written by `asOf` in the store's history. */
-  writtenBy(asOf: StorePosition): [string, StorePosition][] {
+  writtenUpTo(asOf: StorePosition): [string, StorePosition][] {
     return [...this.entries].flatMap(([fingerprint, { row }]): [string, StorePosition][] =>
       row === undefined || isAfter(row, asOf) ? [] : [[fingerprint, row]],
     );
--- a/src/serving/refusals.ts
+++ b/src/serving/refusals.ts
@@ -18,7 +18,7 @@
   private readonly records = new Map<string, Refusal>();
 
   /** The server refused a request within `scope`, the model asked for or nothing at plain servers. */
-  refused(serverId: string, scope: string, nowMs: number): void {
+  recordRefusal(serverId: string, scope: string, nowMs: number): void {
     const key = `${serverId} ${scope}`;
     const record = this.records.get(key) ?? { times: 0, untilMs: 0 };
     // Requests sent before the first refusal came back say nothing new.
@@ -28,12 +28,12 @@
   }
 
   /** The server took a request. */
-  accepted(serverId: string, scope: string): void {
+  recordAccepted(serverId: string, scope: string): void {
     this.records.delete(`${serverId} ${scope}`);
   }
 
   /** May the server be asked? */
-  open(serverId: string, scope: string, nowMs: number): boolean {
+  isAvailable(serverId: string, scope: string, nowMs: number): boolean {
     return nowMs >= (this.records.get(`${serverId} ${scope}`)?.untilMs ?? 0);
   }
 
--- a/src/serving/patience.ts
+++ b/src/serving/requestDeadlines.ts
@@ -7,21 +7,25 @@
 const answerMarginMs = 250;
 
 /** Latest moment for the whole answer and for its first byte, on the node's steady clock, ms. */
-export interface Patience {
-  readonly answerByMs: number;
-  readonly firstByteByMs: number;
+export interface RequestDeadlines {
+  readonly responseDeadlineMs: number;
+  readonly firstByteDeadlineMs: number;
 }
 
 /**
  * Patience of a request that arrived at `arrivedMs`. A stream's caller waits for the first event no longer
  * than for any other, however long its deadline is.
  */
-export function patienceOf(route: Route, deadlineMs: number | undefined, arrivedMs: number): Patience {
+export function deadlinesOf(
+  route: Route,
+  deadlineMs: number | undefined,
+  arrivedMs: number,
+): RequestDeadlines {
   const whole = Math.min(route.timeoutMs, deadlineMs ?? route.timeoutMs);
   const answerByMs = arrivedMs + whole;
-  if (route.kind !== "stream") return { answerByMs, firstByteByMs: answerByMs };
+  if (route.kind !== "stream") return { responseDeadlineMs: answerByMs, firstByteDeadlineMs: answerByMs };
   const gap = gapPatienceMs(route) - answerMarginMs;
-  return { answerByMs, firstByteByMs: arrivedMs + Math.min(whole, gap) };
+  return { responseDeadlineMs: answerByMs, firstByteDeadlineMs: arrivedMs + Math.min(whole, gap) };
 }
 
 /** How long a stream's caller waits for the next event, ms. */
--- a/src/serving/routeTable.ts
+++ b/src/serving/routeTable.ts
@@ -33,7 +33,7 @@
   }
 
   /** The service this request goes to: by weight, and the same one whenever the request is asked about. */
-  pick(route: Route, requestId: string): string | undefined {
+  selectService(route: Route, requestId: string): string | undefined {
     if (route.shares.length <= 1) return route.shares[0]?.service;
     const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
     let point = hashFraction(requestId) * total;
--- a/src/serving/sendRules.ts
+++ b/src/serving/sendRules.ts
@@ -2,8 +2,8 @@
  * How long a server is given, when another one is asked instead, and when none is worth asking. Answers silent
  * and slow servers without mistaking a busy one for them, and load beyond what can be served in time.
  */
-import { repeatable, type Route } from "./configuration.ts";
-import { gapPatienceMs } from "./patience.ts";
+import { isRepeatable, type Route } from "./configuration.ts";
+import { gapPatienceMs } from "./requestDeadlines.ts";
 
 /** An answer to a repeatable call that isn't there after this many times the route's target is asked elsewhere. */
 const silentTargets = 3;
@@ -18,24 +18,30 @@
 
 /** May the request be sent to another server, if `ran` servers may have run it and one more does now? */
 export function mayRepeat(route: Route, ran: number): boolean {
-  return repeatable(route) && ran + 1 < route.maxAttempts;
+  return isRepeatable(route) && ran + 1 < route.maxAttempts;
 }
 
 /** What the time limit of a send is set from. */
 export interface SendLimits {
   readonly route: Route;
   /** Servers that may have run the request before this send. */
-  readonly ran: number;
+  readonly priorRuns: number;
   /** Until the caller leaves without a first byte, ms. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** Until the first byte as expected, ms. */
-  readonly expectedMs: number;
+  readonly expectedFirstByteMs: number;
   /** Another server could be asked instead. */
-  readonly another: boolean;
+  readonly hasAlternative: boolean;
 }
 
 /** How long the first byte may take, ms: all the caller has, unless another server can be asked. */
-export function firstByteLimitMs({ route, ran, leftMs, expectedMs, another }: SendLimits): number {
+export function firstByteTimeoutMs({
+  route,
+  priorRuns: ran,
+  remainingMs: leftMs,
+  expectedFirstByteMs: expectedMs,
+  hasAlternative: another,
+}: SendLimits): number {
   // Nor is a silent server given up where there is no other: its work would be lost for nothing.
   if (!another || !mayRepeat(route, ran)) return leftMs;
   const targets = route.kind === "stream" ? silentStreamTargets : silentTargets;
@@ -45,7 +51,7 @@
 }
 
 /** How long a stream may pause, ms. */
-export function pauseLimitMs(route: Route, ran: number): number {
+export function eventGapTimeoutMs(route: Route, ran: number): number {
   return gapPatienceMs(route) * (mayRepeat(route, ran) ? pausePart : 1);
 }
 
@@ -53,6 +59,6 @@
  * Is it no use to send the request at all? One that no engine can start before its caller leaves would only
  * take engine time from those that can be served.
  */
-export function isHopeless(expectedMs: number, leftMs: number): boolean {
+export function willMissDeadline(expectedMs: number, leftMs: number): boolean {
   return expectedMs >= leftMs * hopelessFactor;
 }
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -2,12 +2,12 @@
  * Chooses the backend server for a request: the one whose first byte is expected soonest. Answers bursts,
  * uneven servers and prompts with shared parts, where every server would read every prefix again.
  */
-import { hashText, spreadHash } from "../common/textHash.ts";
+import { hashText, mixHash } from "../common/textHash.ts";
 import type { BackendServer } from "./backendServer.ts";
 import type { PromptPart } from "./exchange.ts";
 import { prefillTokensPerMs } from "./engineSpeed.ts";
-import type { Load } from "./loadBoard.ts";
-import type { Health } from "./outliers.ts";
+import type { Load } from "./loadTracker.ts";
+import type { Health } from "./outlierDetector.ts";
 
 /**
  * What a request in flight at an engine counts for beside the first token of the next, ms: each one makes the pauses
@@ -34,12 +34,12 @@
   /** The availability zone of this node. */
   readonly zone: string;
   /** Drawn anew for each choice, from 0 to 1: decides between equal servers. */
-  readonly draw: number;
+  readonly randomDraw: number;
   /** Servers that already had this request and are not asked again. */
   readonly tried: ReadonlySet<string>;
   readonly promptTokens: number;
   /** Pace of the model asked for. */
-  readonly pace: number;
+  readonly prefillFactor: number;
   /** Least time to a first token beside the reading of the prompt, ms. */
   readonly overheadMs: number;
   /** Until a request gets a slot of a server with so many requests and slots, ms. */
@@ -52,41 +52,41 @@
 }
 
 /** A server, and the time to its first byte expected of it, ms. */
-export interface Chosen {
+export interface ServerEstimate {
   readonly server: BackendServer;
   readonly expectedMs: number;
   /** The same of a server in full health, which its answers are measured by, ms. */
-  readonly healthyMs: number;
+  readonly baselineMs: number;
   /** Until the first token of a request that needs no reading, by what is ahead of it at the server, ms. */
   readonly queueMs: number;
   /** Requests in flight there, as far as is known. */
   readonly requests: number;
   /** Engine time of reading what isn't expected in its cache, ms; 0 at plain servers. */
-  readonly workMs: number;
+  readonly prefillMs: number;
   /** No other prompt is being read there, and there are slots to spare. */
-  readonly quiet: boolean;
+  readonly lightlyLoaded: boolean;
   /** Reading what isn't expected in its cache at pace 1, ms. */
-  readonly referenceMs: number;
+  readonly referencePrefillMs: number;
 }
 
 /** The best server, or undefined if every candidate was tried. Ejected ones only if nothing else is left. */
-export function chooseServer(choice: Choice): Chosen | undefined {
+export function chooseServer(choice: Choice): ServerEstimate | undefined {
   const fresh = choice.candidates.filter((server) => !choice.tried.has(server.id));
   const sound = fresh.filter((server) => !choice.health(server.id).ejected);
   const servers = sound.length > 0 ? sound : fresh;
   if (servers.length === 0) return undefined;
   const home = cacheHome(choice, servers);
   return soonest(
-    rotated(servers, choice.draw).map((server) => expectation(choice, server, server.id === home)),
+    rotated(servers, choice.randomDraw).map((server) => expectation(choice, server, server.id === home)),
     choice.zone,
   );
 }
 
 /** The option whose first byte comes soonest, ways between zones included; of equal ones the first. */
-function soonest(options: readonly Chosen[], zone: string): Chosen | undefined {
-  const costMs = ({ server, expectedMs }: Chosen): number =>
+function soonest(options: readonly ServerEstimate[], zone: string): ServerEstimate | undefined {
+  const costMs = ({ server, expectedMs }: ServerEstimate): number =>
     expectedMs + (server.zone === zone ? 0 : otherZoneMs);
-  return options.reduce<Chosen | undefined>(
+  return options.reduce<ServerEstimate | undefined>(
     (best, option) => (best === undefined || costMs(option) < costMs(best) ? option : best),
     undefined,
   );
@@ -101,7 +101,7 @@
   return [...servers.slice(start), ...servers.slice(0, start)];
 }
 
-function expectation(choice: Choice, server: BackendServer, isHome: boolean): Chosen {
+function expectation(choice: Choice, server: BackendServer, isHome: boolean): ServerEstimate {
   const load = choice.load(server.id);
   const health = choice.health(server.id);
   const workMs = server.engine ? readingMs(choice, isHome) : 0;
@@ -110,14 +110,23 @@
   const healthyMs = queueMs + crowdMs + workMs;
   const expectedMs = healthyMs * health.slowdown + health.failureShare * failureMs;
   const quiet = load.pendingMs === 0 && load.requests <= quietPart * server.slots;
-  const referenceMs = workMs / choice.pace;
+  const referenceMs = workMs / choice.prefillFactor;
   const { requests } = load;
-  return { server, expectedMs, healthyMs, queueMs, requests, workMs, quiet, referenceMs };
+  return {
+    server,
+    expectedMs,
+    baselineMs: healthyMs,
+    queueMs,
+    requests,
+    prefillMs: workMs,
+    lightlyLoaded: quiet,
+    referencePrefillMs: referenceMs,
+  };
 }
 
 function readingMs(choice: Choice, isHome: boolean): number {
-  const cached = isHome ? sharedTokens(choice.prefix) * cachedShare : 0;
-  return (Math.max(0, choice.promptTokens - cached) / prefillTokensPerMs) * choice.pace;
+  const cached = isHome ? sharedPrefixTokens(choice.prefix) * cachedShare : 0;
+  return (Math.max(0, choice.promptTokens - cached) / prefillTokensPerMs) * choice.prefillFactor;
 }
 
 function engineQueueMs({ overheadMs, slotWaitMs }: Choice, server: BackendServer, load: Load): number {
@@ -132,7 +141,7 @@
 }
 
 /** All but the last part, which belongs to the request or its session alone. */
-export function sharedTokens(prefix: readonly PromptPart[]): number {
+export function sharedPrefixTokens(prefix: readonly PromptPart[]): number {
   return prefix.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
@@ -147,7 +156,7 @@
   let home: string | undefined;
   let highest = -1;
   for (const server of servers) {
-    const weight = spreadHash(hashText(server.id, key));
+    const weight = mixHash(hashText(server.id, key));
     if (weight <= highest) continue;
     highest = weight;
     home = server.id;
--- a/src/serving/serverNotices.ts
+++ b/src/serving/serverNotices.ts
@@ -11,14 +11,14 @@
 export type Incarnation = Pick<BackendServer, "id" | "startedAtMs">;
 
 /** A rate limit as its node last heard of it. */
-export const LimitWord = Schema.Struct({
+export const ObservedRateLimit = Schema.Struct({
   /** Requests per second from all nodes together; absent once the server names no limit any more. */
   perS: Schema.optionalKey(Schema.Number),
   /** Since the server said so, ms. */
   ageMs: Schema.Number,
 });
 /** A decoded word. */
-export type LimitWord = typeof LimitWord.Type;
+export type ObservedRateLimit = typeof ObservedRateLimit.Type;
 
 /** A rate limit as last named or lifted, and when, ms. */
 interface LimitRecord {
@@ -68,7 +68,13 @@
   private readonly records = new Map<string, NoticeRecord>();
 
   /** Takes the notice in an answer to a request that was sent at `sentMs`; the answer came at `arrivedMs` at the earliest. */
-  hear(server: Incarnation, notice: ServerNotice, sentMs: number, nowMs: number, arrivedMs = nowMs): void {
+  recordNotice(
+    server: Incarnation,
+    notice: ServerNotice,
+    sentMs: number,
+    nowMs: number,
+    arrivedMs = nowMs,
+  ): void {
     const incarnation = incarnationOf(server);
     if (isEmpty(notice) && !this.records.has(incarnation)) return;
     const record = this.record(incarnation, nowMs);
@@ -82,12 +88,12 @@
   }
 
   /** Takes the notice in an answer that isn't one to a request: what it leaves out says nothing. */
-  hearAside(server: Incarnation, notice: ServerNotice, nowMs: number): void {
-    this.hear(server, notice, Number.NEGATIVE_INFINITY, nowMs);
+  recordPartialNotice(server: Incarnation, notice: ServerNotice, nowMs: number): void {
+    this.recordNotice(server, notice, Number.NEGATIVE_INFINITY, nowMs);
   }
 
   /** No server has said anything of itself. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.records.size === 0;
   }
 
@@ -97,7 +103,7 @@
   }
 
   /** The limit as last named or lifted, to tell peers; undefined if the server never named one. */
-  limitWord(incarnation: string, nowMs: number): LimitWord | undefined {
+  observedLimit(incarnation: string, nowMs: number): ObservedRateLimit | undefined {
     const limit = this.records.get(incarnation)?.limit;
     if (limit === undefined) return undefined;
     const ageMs = Math.round(nowMs - limit.atMs);
@@ -105,7 +111,7 @@
   }
 
   /** Takes a peer's word on a limit; true if it is newer than what is known. */
-  learnLimit(incarnation: string, { perS, ageMs }: LimitWord, nowMs: number): boolean {
+  applyPeerLimit(incarnation: string, { perS, ageMs }: ObservedRateLimit, nowMs: number): boolean {
     const record = this.record(incarnation, nowMs);
     const known = record.limit;
     if (known !== undefined && known.atMs >= nowMs - ageMs) return false;
@@ -115,19 +121,19 @@
   }
 
   /** May the server be sent requests, by the pauses that it asked this node for? */
-  isOpen(server: Incarnation, nowMs: number): boolean {
+  acceptsRequests(server: Incarnation, nowMs: number): boolean {
     const record = this.records.get(incarnationOf(server));
     if (record === undefined) return true;
     return nowMs >= record.pausedUntilMs && (!record.isUntried || nowMs >= record.probeUntilMs);
   }
 
   /** Until the pause that the server asked for is over, ms. */
-  pauseLeftMs(server: Incarnation, nowMs: number): number {
+  backoffRemainingMs(server: Incarnation, nowMs: number): number {
     return Math.max(0, (this.records.get(incarnationOf(server))?.pausedUntilMs ?? 0) - nowMs);
   }
 
   /** A request is sent to the server; the first after a pause is to be answered before others follow. */
-  sent(server: Incarnation, nowMs: number): void {
+  recordSend(server: Incarnation, nowMs: number): void {
     const record = this.records.get(incarnationOf(server));
     if (record?.isUntried === true) record.probeUntilMs = nowMs + probeMs;
   }
@@ -138,7 +144,7 @@
   }
 
   /** Takes a peer's word that the server leaves. */
-  learnLeaving(incarnation: string, nowMs: number): void {
+  applyPeerLeaving(incarnation: string, nowMs: number): void {
     const record = this.record(incarnation, nowMs);
     if (record.leavingSinceMs !== undefined) return;
     record.leavingSinceMs = nowMs;
--- a/src/serving/store.ts
+++ b/src/serving/store.ts
@@ -1,5 +1,5 @@
 /** The table store, as the gateway uses it: rows in tables, changed under conditions. */
-import type { EraWatch } from "./eraWatch.ts";
+import type { EraTracker } from "./eraTracker.ts";
 import type { StorePosition } from "./storePosition.ts";
 
 /** A row as read. */
@@ -50,7 +50,7 @@
  */
 export interface Store {
   /** The newest era seen in any answer. */
-  readonly eras: EraWatch;
+  readonly eras: EraTracker;
   /** All rows of a table. */
   list(table: string, options?: StoreCallOptions): Promise<RowSet>;
   /** One row, if it exists. */
--- a/src/serving/storeCalls.ts
+++ b/src/serving/storeApi.ts
@@ -11,14 +11,14 @@
 }
 
 /** Rows of one table, as of one moment. */
-export interface RowsAnswer extends Answer {
+export interface RowsResponse extends Answer {
   readonly rows: readonly { readonly key: string; readonly value: string; readonly version: number }[];
   /** Keys dropped since the version asked for; only in answers about changes. */
   readonly removed: readonly string[];
 }
 
 /** The acknowledgement of a commit. */
-export type CommitAnswer = Answer;
+export type CommitResponse = Answer;
 
 /** A row to write (or, with no value, to remove) if its version still is `expected` (0: absent). */
 export interface CommitEntry {
@@ -29,9 +29,9 @@
 }
 
 /** Makes the calls; rejects as `Store` does. */
-export interface StoreCalls {
-  list(table: string, options?: StoreCallOptions): Promise<RowsAnswer>;
-  get(table: string, key: string, options?: StoreCallOptions): Promise<RowsAnswer>;
-  changes(table: string, version: number, waitMs: number): Promise<RowsAnswer>;
-  commit(entries: readonly CommitEntry[], options?: StoreCallOptions): Promise<CommitAnswer>;
+export interface StoreApi {
+  list(table: string, options?: StoreCallOptions): Promise<RowsResponse>;
+  get(table: string, key: string, options?: StoreCallOptions): Promise<RowsResponse>;
+  changes(table: string, version: number, waitMs: number): Promise<RowsResponse>;
+  commit(entries: readonly CommitEntry[], options?: StoreCallOptions): Promise<CommitResponse>;
 }
--- a/src/serving/storePosition.ts
+++ b/src/serving/storePosition.ts
@@ -10,7 +10,7 @@
 export type StorePosition = typeof StorePosition.Type;
 
 /** Before every position at which something was written. */
-export const beginning: StorePosition = { era: 0, version: 0 };
+export const initialPosition: StorePosition = { era: 0, version: 0 };
 
 /** Is the first position later than the second? */
 export function isAfter(later: StorePosition, earlier: StorePosition): boolean {
@@ -19,7 +19,7 @@
 }
 
 /** The later of two positions. */
-export function latest(one: StorePosition, other: StorePosition): StorePosition {
+export function laterOf(one: StorePosition, other: StorePosition): StorePosition {
   return isAfter(other, one) ? other : one;
 }
 
--- a/test/gateway/storeCopySoak.spec.ts
+++ b/test/gateway/storeRestoreSoak.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { StoreCopySoak } from "../fixtures/storeCopySoak.ts";
+import { StoreCopySoak } from "../fixtures/storeRestoreSoak.ts";
 
 /** Longer by hand: SOAK_SEEDS=101,102 SOAK_CYCLES=10 npm test. */
 const seeds = (process.env.SOAK_SEEDS ?? "1").split(",").map(Number);
