--- a/src/common/decode.ts
+++ b/src/common/decode.ts
@@ -1,18 +1,18 @@
-/** Decoding untrusted input with a schema into a purify-ts `Either` of a `Failure` or the value. */
+/** Decodes untrusted input with a schema into a purify-ts `Either` of a `Failure` or the value. */
 import * as purify from "purify-ts";
 import * as Schema from "effect/Schema";
 import { Failure, type ErrorKind } from "./errors.ts";
 
 type Decoder<A> = (input: unknown) => A;
 
-/** Decoders that were made, by schema: making one costs more than decoding a small message. */
-const decoders = new WeakMap<object, Decoder<unknown>>();
+/** Compiled decoders by schema: compiling one costs more than decoding a small message. */
+const decoderCache = new WeakMap<object, Decoder<unknown>>();
 
 function decoderOf<A>(schema: Schema.Codec<A, unknown>): Decoder<A> {
-  const known = decoders.get(schema) as Decoder<A> | undefined;
-  if (known !== undefined) return known;
+  const cached = decoderCache.get(schema) as Decoder<A> | undefined;
+  if (cached !== undefined) return cached;
   const decoder: Decoder<A> = Schema.decodeUnknownSync(schema);
-  decoders.set(schema, decoder);
+  decoderCache.set(schema, decoder);
   return decoder;
 }
 
@@ -26,11 +26,11 @@
     return purify.Right(decoderOf(schema)(input));
   } catch (error) {
     const detail = (error instanceof Error ? error.message : String(error)).replace(/\s+/g, " ");
-    return purify.Left(new Failure(kind, `input does not fit: ${detail}`));
+    return purify.Left(new Failure(kind, `invalid input: ${detail}`));
   }
 }
 
-/** Like `decodeEither`, but throws the `Failure`; for handlers whose failures are answered in one place. */
+/** Like `decodeEither`, but throws the `Failure`; for handlers whose callers turn failures into responses centrally. */
 export function decode<A>(
   schema: Schema.Codec<A, unknown>,
   input: unknown,
@@ -39,7 +39,7 @@
   return unwrap(decodeEither(schema, input, kind));
 }
 
-/** The value, or throws the failure: for callers that answer failures in one place of their own. */
+/** Returns the value or throws the failure; for code whose callers handle failures centrally. */
 export function unwrap<A>(either: purify.Either<Failure, A>): A {
   return either.caseOf({
     Left: (failure) => {
--- a/src/common/disposables.ts
+++ b/src/common/disposables.ts
@@ -1,11 +1,11 @@
-/** Ownership and clean-up: everything a task opens is added to its store and disposed together on stop. */
+/** Resource ownership: everything a task opens is added to its store and disposed together when the task stops. */
 
 /** Something that can be released: a socket, a timer, a server. */
 export interface Disposable {
   dispose(): void | Promise<void>;
 }
 
-/** Gathers disposables and releases them in reverse order of addition. */
+/** Collects disposables and releases them in reverse order of addition. */
 export class DisposableStore implements Disposable {
   private readonly items: Disposable[] = [];
   private disposed = false;
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Releases everything, last added first; errors of one item do not stop the others. */
+  /** Releases everything, last added first; an error in one item does not stop the others. */
   async dispose(): Promise<void> {
     this.disposed = true;
     const items = this.items.splice(0).reverse();
@@ -35,7 +35,7 @@
       try {
         await item.dispose();
       } catch {
-        // A clean-up that fails must not keep the rest from being released.
+        // A failed clean-up must not prevent the remaining items from being released.
       }
     }
   }
--- a/src/common/emitter.ts
+++ b/src/common/emitter.ts
@@ -1,7 +1,7 @@
-/** Events between tasks: a listener is added with `on` and removed by the disposable that returns. */
+/** Events between tasks: `on` adds a listener and returns a disposable that removes it. */
 import type { Disposable } from "./disposables.ts";
 
-/** Tells its listeners of events of one type. */
+/** Delivers events of one type to its listeners. */
 export class Emitter<T> {
   private readonly listeners = new Set<(event: T) => void>();
 
@@ -15,21 +15,20 @@
     };
   }
 
-  /** Calls every listener. */
   fire(event: T): void {
     for (const listener of [...this.listeners]) listener(event);
   }
 
-  /** Resolves at the next event, or after `ms`. */
+  /** Resolves at the next event or after `ms`, whichever comes first. */
   waitForNext(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
-        void listening.dispose();
+        void subscription.dispose();
         resolve();
       };
       const timer = setTimeout(done, ms);
-      const listening = this.on(done);
+      const subscription = this.on(done);
     });
   }
 }
--- a/src/common/engineProtocol.ts
+++ b/src/common/engineProtocol.ts
@@ -23,13 +23,13 @@
   version: Schema.String,
   sizeMb: Schema.Number,
   adapters: Schema.Array(Schema.String),
-  /** `unloading`: takes no new stream; its space is freed once the streams on it have ended. */
+  /** `unloading`: accepts no new streams; its memory is freed once its running streams have ended. */
   state: Schema.Literals(["loading", "ready", "unloading"]),
 });
 /** A decoded resident model. */
 export type Resident = typeof Resident.Type;
 
-/** What an engine reports of itself; `load` is requests in flight, possibly stale by the engine's report lag. */
+/** Status reported by an engine; `load` is the number of requests in flight, possibly stale by the engine's report lag. */
 export const EngineStatus = Schema.Struct({
   id: Schema.String,
   zone: Schema.String,
@@ -37,30 +37,30 @@
   usedMb: Schema.Number,
   residents: Schema.Array(Resident),
   load: Schema.Number,
-  /** Streams the engine runs at once; more wait in its queue. */
+  /** Streams the engine runs concurrently; further ones wait in its queue. */
   slots: Schema.Number,
-  /** Random id of this engine process; a new one means it restarted. */
+  /** Random id of this engine process; a different id means that the engine restarted. */
   boot: Schema.String,
-  /** Rises with every change of the residents within one boot. */
+  /** Incremented with every change of the residents within one boot. */
   revision: Schema.Number,
   fencing: Schema.Number,
   role: Schema.String,
-  /** True once the engine has had notice to leave: it finishes streams in flight and takes no new ones. */
+  /** True once the engine was told to drain: it finishes streams in flight and accepts no new ones. */
   draining: Schema.Boolean,
-  /** Completions received so far, and of them, those received after the drain notice. */
+  /** Completions received so far, and how many of them arrived after the drain notice. */
   received: Schema.Number,
   receivedAfterDrain: Schema.Number,
 });
 /** A decoded engine status. */
 export type EngineStatus = typeof EngineStatus.Type;
 
-/** `engine.report` params: the boot and revision the asker knows; none at first. */
+/** `engine.report` params: the last boot id and revision known to the caller; absent on the first call. */
 export const ReportParams = Schema.Struct({
   boot: Schema.optionalKey(Schema.String),
   revision: Schema.optionalKey(Schema.Number),
 });
 
-/** `engine.report` result: what changes all the time, and the whole status only if the residents changed. */
+/** `engine.report` result: frequently changing fields, plus the complete status only if the residents changed. */
 export const EngineReport = Schema.Struct({
   load: Schema.Number,
   draining: Schema.Boolean,
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,10 +1,10 @@
 /**
- * The one closed list of error kinds, and the one table from kind to answer
+ * The closed list of error kinds and the table that maps each kind to a response
  * (HTTP status, process exit code, retry advice). Every failure the system reports is a `Failure`.
  */
 import * as Schema from "effect/Schema";
 
-/** Every kind of failure the system can report. Closed: add a kind here and in `answers`. */
+/** Every kind of failure the system can report. Closed: add a kind here and in `failureResponses`. */
 export const ErrorKind = Schema.Literals([
   "bad-request",
   "bad-settings",
@@ -39,14 +39,14 @@
 /** A member of the closed list of error kinds. */
 export type ErrorKind = typeof ErrorKind.Type;
 
-/** How one kind of failure is answered: HTTP status, exit code of a CLI, seconds to wait before retrying (0: do not retry). */
+/** Response to one kind of failure: HTTP status, CLI exit code, seconds to wait before retrying (0: do not retry). */
 export interface FailureResponse {
   readonly status: number;
   readonly exitCode: number;
   readonly retryAfterSeconds: number;
 }
 
-/** Kind → answer. `not-run` means provably not executed; `outcome-unknown` means it may have run. */
+/** Responses by kind. `not-run`: provably not executed; `outcome-unknown`: may have been executed. */
 export const failureResponses: Readonly<Record<ErrorKind, FailureResponse>> = {
   "bad-request": { status: 400, exitCode: 2, retryAfterSeconds: 0 },
   "bad-settings": { status: 400, exitCode: 78, retryAfterSeconds: 0 },
@@ -79,7 +79,7 @@
   internal: { status: 500, exitCode: 70, retryAfterSeconds: 1 },
 };
 
-/** The wire shape of a failure in HTTP bodies and JSON-RPC error data. */
+/** Wire format of a failure in HTTP bodies and JSON-RPC error data. */
 export const FailureBody = Schema.Struct({
   error: Schema.Struct({
     kind: ErrorKind,
@@ -91,7 +91,7 @@
 /** A decoded failure body. */
 export type FailureBody = typeof FailureBody.Type;
 
-/** A failure of a known kind; `message` says what was expected, what happened and what to do. */
+/** A failure of a known kind; `message` states what was expected, what happened and what to do. */
 export class Failure extends Error {
   override readonly name = "Failure";
 
@@ -103,7 +103,7 @@
     super(message);
   }
 
-  /** The answer for this failure's kind. */
+  /** The response for this failure's kind. */
   get response(): FailureResponse {
     return failureResponses[this.kind];
   }
@@ -120,7 +120,7 @@
     };
   }
 
-  /** Rebuilds a failure from a body a peer sent, or `undefined` if it is not one. */
+  /** Parses a failure from a body sent by a peer; `undefined` if the body is not a failure. */
   static fromBody(body: unknown): Failure | undefined {
     const decoded = Schema.decodeUnknownOption(FailureBody)(body);
     if (decoded._tag === "None") return undefined;
@@ -129,7 +129,7 @@
   }
 }
 
-/** Wraps anything thrown into a `Failure`, keeping a `Failure` as it is. */
+/** Wraps any thrown value into a `Failure`; a `Failure` is returned unchanged. */
 export function toFailure(error: unknown, kind: ErrorKind = "internal"): Failure {
   if (error instanceof Failure) return error;
   return new Failure(kind, error instanceof Error ? error.message : String(error));
--- a/src/common/hostLog.ts
+++ b/src/common/hostLog.ts
@@ -1,26 +1,26 @@
 /**
- * JSON-line logs of a long-lived process, on standard output. Lines go through a bounded asynchronous
- * buffer: a reader that stops reading costs log lines, never requests.
+ * JSON-lines logging of a long-lived process to standard output. Lines go through a bounded asynchronous
+ * buffer: if the reader of standard output stalls, log lines are dropped and requests are not blocked.
  */
-// A CommonJS module: its default export is the one that both Node and the bundler see.
+// A CommonJS module: its default export is the one that both Node and the bundler resolve.
 import * as sonic from "sonic-boom";
 import * as tslog from "tslog";
 import { LogRateLimiter } from "./logRateLimiter.ts";
 import { logLevel, type Log } from "./log.ts";
 
-/** Bytes kept while the reader is slow; lines beyond are dropped and counted. */
+/** Bytes buffered while the reader is slow; further lines are dropped and counted. */
 const bufferBytes = 1024 * 1024;
-/** Lines are gathered up to this many bytes, or for this long, ms, before they are written. */
+/** Lines are batched up to this many bytes, or for this long in ms, before they are written. */
 const batchBytes = 4096;
 const batchMs = 200;
 
-/** A log, and a way to write out what is gathered before the process ends. */
+/** A log, and a way to write out buffered lines before the process exits. */
 export interface HostLog {
   readonly log: Log;
   flush(): void;
 }
 
-/** Makes the log of a process. */
+/** Creates the log of a process. */
 export function createHostLog(name: string): HostLog {
   const out = new sonic.default.SonicBoom({
     fd: 1,
@@ -39,9 +39,9 @@
   const log = createFlatLog(name, {
     write: (text) => out.write(text),
     dropped: () => {
-      const lost = dropped;
+      const count = dropped;
       dropped = 0;
-      return lost;
+      return count;
     },
   });
   return {
@@ -50,22 +50,22 @@
       try {
         out.flushSync();
       } catch {
-        // The reader is gone or doesn't read; there is nobody left to tell.
+        // The reader has closed the pipe or is not reading; there is nowhere to report the error.
       }
     },
   };
 }
 
-/** Where lines go. */
-export interface LineSink {
+/** Destination of log lines. */
+export interface LogSink {
   write(text: string): void;
-  /** Lines lost since the last one that was written. */
+  /** Lines dropped since the last written line; resets the count. */
   dropped(): number;
 }
 
-/** Makes a log of flat lines, each event's number of lines bounded. */
-export function createFlatLog(name: string, sink: LineSink, minLevel = logLevel()): Log {
-  const limit = new LogRateLimiter();
+/** Creates a log of flat JSON lines with a rate limit per event. */
+export function createFlatLog(name: string, sink: LogSink, minLevel = logLevel()): Log {
+  const rateLimiter = new LogRateLimiter();
   return new tslog.Logger<unknown>({
     type: "json",
     name,
@@ -73,38 +73,38 @@
     hideLogPositionForProduction: true,
     overwrite: {
       transportJSON: (record: unknown) => {
-        const suppressed = allow(limit, record as Partial<LogRecord>);
+        const suppressed = admit(rateLimiter, record as Partial<TslogRecord>);
         if (suppressed === undefined) return;
-        sink.write(`${JSON.stringify(line(record, { dropped: sink.dropped(), suppressed }))}\n`);
+        sink.write(`${JSON.stringify(flatLine(record, { dropped: sink.dropped(), suppressed }))}\n`);
       },
     },
   });
 }
 
-/** What the log library makes of a line. */
-interface LogRecord {
+/** A log record as tslog passes it to its transport. */
+interface TslogRecord {
   readonly _meta: { readonly date: Date; readonly logLevelName: string };
   readonly event: string;
 }
 
-/** Lines of this event left out before this one; undefined if it is left out too. */
-function allow(limit: LogRateLimiter, { _meta, event }: Partial<LogRecord>): number | undefined {
+/** Number of suppressed lines of this event before this one; undefined if this one is suppressed too. */
+function admit(rateLimiter: LogRateLimiter, { _meta, event }: Partial<TslogRecord>): number | undefined {
   const level = _meta?.logLevelName;
   if (event === undefined || level === "WARN" || level === "ERROR" || level === "FATAL") return 0;
-  return limit.pass(event, performance.now());
+  return rateLimiter.admit(event, performance.now());
 }
 
-/** A flat line: time, level, the event's own fields, and how many lines are missing before it. */
-function line(
+/** A flat line: time, level, the event's own fields, and how many lines were omitted before it. */
+function flatLine(
   record: unknown,
-  missing: { readonly dropped: number; readonly suppressed: number },
+  omitted: { readonly dropped: number; readonly suppressed: number },
 ): Record<string, unknown> {
-  const { _meta, ...fields } = record as Partial<LogRecord>;
+  const { _meta, ...fields } = record as Partial<TslogRecord>;
   return {
     time: _meta?.date.toISOString(),
     level: _meta?.logLevelName.toLowerCase(),
     ...fields,
-    ...(missing.dropped > 0 ? { dropped: missing.dropped } : {}),
-    ...(missing.suppressed > 0 ? { suppressed: missing.suppressed } : {}),
+    ...(omitted.dropped > 0 ? { dropped: omitted.dropped } : {}),
+    ...(omitted.suppressed > 0 ? { suppressed: omitted.suppressed } : {}),
   };
 }
--- a/src/common/http.ts
+++ b/src/common/http.ts
@@ -1,28 +1,34 @@
-/** Small helpers over Node's `http` for JSON bodies with a size limit and failure answers. */
+/** Helpers over Node's `http`: JSON bodies with a size limit, failure responses, listening and closing. */
 import * as http from "node:http";
 import type { DisposableStore } from "./disposables.ts";
 import { Failure, toFailure } from "./errors.ts";
 
 /**
- * How long an idle connection is kept open, in ms. Guards "a request meets a closing connection": a server
- * that closes idle connections after Node's 5 s does so just as its callers reuse them; callers' pools
- * give theirs up earlier than this.
+ * How long an idle connection is kept open, in ms. Longer than the idle timeout of callers' connection pools:
+ * with Node's default of 5 s the server closes idle connections just as callers reuse them, and requests fail.
  */
 const keepAliveMs = 65_000;
 
-/** New connections that may wait to be accepted: callers of a mass restart return together. */
-const backlog = 1024;
+/** Length of the accept queue: after a mass restart all callers reconnect at the same time. */
+const acceptBacklog = 1024;
 
 /** Largest request body accepted by default, in bytes. */
-export const defaultBodyLimit = 1024 * 1024;
+export const defaultBodyLimitBytes = 1024 * 1024;
 
 /** Reads the whole body as JSON; rejects with `body-too-large` past `limit` bytes and `bad-request` on bad JSON. */
-export async function readJson(req: http.IncomingMessage, limit = defaultBodyLimit): Promise<unknown> {
+export async function readJson(
+  req: http.IncomingMessage,
+  limitBytes = defaultBodyLimitBytes,
+): Promise<unknown> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of req as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > limit) throw new Failure("body-too-large", `body is over ${limit} bytes; send a smaller one`);
+    if (size > limitBytes)
+      throw new Failure(
+        "body-too-large",
+        `request body exceeds the limit of ${limitBytes} bytes; send a smaller one`,
+      );
     chunks.push(chunk);
   }
   const text = Buffer.concat(chunks).toString("utf8");
@@ -30,36 +36,36 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    throw new Failure("bad-request", "body is not valid JSON");
+    throw new Failure("bad-request", "request body is not valid JSON");
   }
 }
 
-/** Writes a JSON answer. */
+/** Writes a JSON response. */
 export function sendJson(res: http.ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
   res.writeHead(status, { "content-type": "application/json", "content-length": Buffer.byteLength(text) });
   res.end(text);
 }
 
-/** Writes a failure with its status and, where retrying helps, a `Retry-After` header in seconds. */
+/** Writes a failure with its status and, if the request can be retried, a `Retry-After` header in seconds. */
 export function sendFailure(res: http.ServerResponse, failure: Failure): void {
   if (res.headersSent) {
     if (!res.writableEnded) res.destroy();
     return;
   }
   const { status, retryAfterSeconds } = failure.response;
-  // Guards "the next request on this connection is reset": after an oversize body the rest of it is still
-  // in the socket, so the connection is closed rather than reused for another request.
+  // After an oversized body the rest of it is still unread in the socket, and the next request on the connection would
+  // be reset. The connection is therefore closed instead of reused.
   if (failure.kind === "body-too-large") res.setHeader("connection", "close");
   if (retryAfterSeconds > 0) res.setHeader("retry-after", String(retryAfterSeconds));
   sendJson(res, status, failure.toBody());
 }
 
-/** Starts listening; rejects if the address can't be had. */
+/** Starts listening; rejects if the address can't be bound. */
 export async function bind(server: http.Server, host: string, port: number): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(port, host, backlog, () => {
+    server.listen(port, host, acceptBacklog, () => {
       server.off("error", reject);
       resolve();
     });
@@ -71,14 +77,15 @@
   server.keepAliveTimeout = keepAliveMs;
   await bind(server, host, port);
   const address = server.address();
-  if (address === null || typeof address === "string") throw new Failure("internal", "server has no port");
+  if (address === null || typeof address === "string")
+    throw new Failure("internal", "server is not bound to a TCP port");
   return address.port;
 }
 
 /**
- * Closes a server at once, ending every connection. Graceful stops wait for work in flight before they
- * get here (entry drain, engine drain); without ending active sockets, one long order in flight (a model
- * load) held a stand-in's close for seconds (3.7 s measured in the demo).
+ * Closes a server immediately, including its active connections. Graceful shutdown waits for requests in flight
+ * before calling this (entry drain, engine drain). If active sockets were left open, one long-running order such as
+ * a model load would delay closing by seconds (3.7 s measured in the demo).
  */
 export async function close(server: http.Server): Promise<void> {
   await new Promise<void>((resolve) => {
@@ -95,16 +102,16 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** What `serve` needs: where to bind, the request handler, and the store that will close the server. */
+/** Options of `serve`: bind address, request handler, and the store that will close the server. */
 export interface ServeOptions {
   readonly host: string;
   readonly port: number;
   readonly store: DisposableStore;
-  /** Handles one request; a throw is answered as a `Failure` with its kind's status. */
+  /** Handles one request; a thrown error is sent as a `Failure` with the status of its kind. */
   readonly handle: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
 }
 
-/** Creates, binds and registers an HTTP server for closing; resolves with the bound port. */
+/** Creates and binds an HTTP server and registers it for closing; resolves with the bound port. */
 export async function serve(options: ServeOptions): Promise<number> {
   const server = http.createServer((req, res) => {
     options.handle(req, res).catch((error: unknown) => {
--- a/src/common/httpCall.ts
+++ b/src/common/httpCall.ts
@@ -1,9 +1,9 @@
-/** One HTTP call with a small body and a time limit, for control traffic (store, orders, peers). */
+/** A single HTTP call with a small body and a timeout, for control traffic (store, orders, peers). */
 import * as http from "node:http";
 import { Failure } from "./errors.ts";
 import { setTimeoutAfterInput } from "./readWatermark.ts";
 
-/** What to call and how long to wait. */
+/** Parameters of a call. */
 export interface HttpCall {
   readonly agent: http.Agent;
   readonly ip: string;
@@ -13,11 +13,11 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** From the call to the end of its answer, ms. */
+  /** From the start of the call to the end of its response, ms. */
   readonly timeoutMs: number;
 }
 
-/** The answer of a call. */
+/** The response to a call. */
 export interface HttpReply {
   readonly status: number;
   readonly text: string;
@@ -25,10 +25,9 @@
 }
 
 /**
- * Makes the call; rejects with `not-run` where nothing listens at the address, `upstream-failed` on any other
- * connection error and `deadline-exceeded` past its time limit. After the latter two it is unknown whether the
- * call was carried out. The connection of a call that
- * timed out is reset, so bytes held up on the way are lost rather than delivered late.
+ * Makes the call. Rejects with `not-run` if the connection is refused, `upstream-failed` on any other connection error
+ * and `deadline-exceeded` on timeout. After the latter two it is unknown whether the call was executed. The connection
+ * of a call that timed out is reset, so that data still in transit is discarded rather than delivered late.
  */
 export function callHttp(call: HttpCall): Promise<HttpReply> {
   return new Promise((resolve, reject) => {
@@ -47,10 +46,10 @@
           : { "content-type": "application/json", "content-length": String(body.length) }),
       },
     });
-    let answered = false;
+    let completed = false;
     const timer = setTimeoutAfterInput(call.timeoutMs, () => {
-      if (answered) return;
-      reject(new Failure("deadline-exceeded", `${target}: no answer within ${call.timeoutMs} ms`));
+      if (completed) return;
+      reject(new Failure("deadline-exceeded", `${target}: no response within ${call.timeoutMs} ms`));
       req.socket?.resetAndDestroy();
       req.destroy();
     });
@@ -66,7 +65,7 @@
       res.on("error", fail);
       res.on("end", () => {
         clearTimeout(timer);
-        answered = true;
+        completed = true;
         const text = Buffer.concat(chunks).toString("utf8");
         resolve({ status: res.statusCode ?? 0, text, headers: res.headers });
       });
--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -1,4 +1,4 @@
-/** JSON-line logs through tslog, written to stderr so that stdout stays for a command's own output. */
+/** JSON-lines logging through tslog, written to stderr so that stdout remains for a command's own output. */
 import * as tslog from "tslog";
 
 /** A structured logger; each call writes one JSON line. */
@@ -14,12 +14,12 @@
   fatal: 6,
 };
 
-/** The lowest level written: `PARSLEYNOTCH_LOG_LEVEL`, `info` by default. */
+/** The minimum level that is logged: `PARSLEYNOTCH_LOG_LEVEL`, `info` by default. */
 export function logLevel(): number {
   return levels[process.env.PARSLEYNOTCH_LOG_LEVEL ?? "info"] ?? 3;
 }
 
-/** Makes the logger of one component. */
+/** Creates the logger of one component. */
 export function createLog(name: string): Log {
   return new tslog.Logger({
     type: "json",
--- a/src/common/logRateLimiter.ts
+++ b/src/common/logRateLimiter.ts
@@ -1,53 +1,52 @@
 /**
- * Bounds the log lines of each event. Answers load at its worst, when every request fails with a line of its own
- * and the log would cost the processor time that requests need. What is left out is counted, and warnings and
- * errors always pass.
+ * Limits the rate of log lines per event. When every request fails under overload and logs a line of its own, logging
+ * would take the CPU time that requests need. Suppressed lines are counted; warnings and errors bypass the limit.
  */
 import { TokenBucket } from "./tokenBucket.ts";
 
-/** Options of a `LineLimit`. */
+/** Options of a `LogRateLimiter`. */
 export interface LogRateLimiterOptions {
-  /** Lines per second of one event in the long run: a node's share of 1,000 requests a second, all failing. */
+  /** Sustained lines per second of one event: a node's share of 1,000 requests per second, all failing. */
   readonly perS?: number;
-  /** Lines of one event that may come at once. */
+  /** Burst size: lines of one event that may be written at once. */
   readonly burst?: number;
 }
 
 const defaults = { perS: 40, burst: 200 };
 
-interface EventLines {
+interface EventState {
   readonly bucket: TokenBucket;
-  atMs: number;
+  refilledAtMs: number;
   suppressed: number;
 }
 
-/** Decides which lines are written. */
+/** Decides which log lines are written, with a token bucket per event. */
 export class LogRateLimiter {
   private readonly options: Required<LogRateLimiterOptions>;
-  private readonly events = new Map<string, EventLines>();
+  private readonly events = new Map<string, EventState>();
 
   constructor(options: LogRateLimiterOptions = {}) {
     this.options = { ...defaults, ...options };
   }
 
-  /** Lines of the event left out since the last one that passed; undefined if this one is left out too. */
-  pass(event: string, nowMs: number): number | undefined {
-    const lines = this.linesOf(event, nowMs);
-    lines.bucket.add(((nowMs - lines.atMs) / 1000) * this.options.perS);
-    lines.atMs = nowMs;
-    if (!lines.bucket.take()) {
-      lines.suppressed += 1;
+  /** Number of lines of the event suppressed since the last admitted one; undefined if this one is suppressed too. */
+  admit(event: string, nowMs: number): number | undefined {
+    const state = this.stateOf(event, nowMs);
+    state.bucket.add(((nowMs - state.refilledAtMs) / 1000) * this.options.perS);
+    state.refilledAtMs = nowMs;
+    if (!state.bucket.take()) {
+      state.suppressed += 1;
       return undefined;
     }
-    const { suppressed } = lines;
-    lines.suppressed = 0;
+    const { suppressed } = state;
+    state.suppressed = 0;
     return suppressed;
   }
 
-  private linesOf(event: string, nowMs: number): EventLines {
+  private stateOf(event: string, nowMs: number): EventState {
     const known = this.events.get(event);
     if (known !== undefined) return known;
-    const lines = { bucket: new TokenBucket(this.options.burst), atMs: nowMs, suppressed: 0 };
+    const lines = { bucket: new TokenBucket(this.options.burst), refilledAtMs: nowMs, suppressed: 0 };
     this.events.set(event, lines);
     return lines;
   }
--- a/src/common/loopTask.ts
+++ b/src/common/loopTask.ts
@@ -1,11 +1,11 @@
-/** A task that runs one loop of its own from its start until it is disposed. */
+/** A task that runs its own loop from its start until it is disposed. */
 import { Emitter } from "./emitter.ts";
 import type { Task } from "./supervisor.ts";
 
-/** The loop ends by itself once `stopped` is true. */
+/** Base class of such tasks; the loop has to end once `stopped` is true. */
 export abstract class LoopTask implements Task {
   protected stopped = false;
-  private readonly woken = new Emitter<undefined>();
+  private readonly wakeRequested = new Emitter<undefined>();
 
   constructor(readonly name: string) {}
 
@@ -19,14 +19,14 @@
     return Promise.resolve();
   }
 
-  /** Ends the pause that the loop is in: there may be something to do. */
+  /** Ends the current pause of the loop early, as there may be work to do. */
   wake(): void {
-    this.woken.fire(undefined);
+    this.wakeRequested.fire(undefined);
   }
 
   /** Waits until `wake`, or for `ms`. */
   protected pause(ms: number): Promise<void> {
-    return this.woken.waitForNext(ms);
+    return this.wakeRequested.waitForNext(ms);
   }
 
   /** Runs until `stopped`; never rejects. */
--- a/src/common/openai.ts
+++ b/src/common/openai.ts
@@ -1,4 +1,4 @@
-/** The OpenAI-style completion messages that callers send to entry nodes and entry nodes send to engines. */
+/** OpenAI-style completion messages, sent by callers to entry nodes and by entry nodes to engines. */
 import * as Schema from "effect/Schema";
 
 /** One chat message. */
@@ -12,7 +12,7 @@
   stream: Schema.optionalKey(Schema.Boolean),
   max_tokens: Schema.optionalKey(Schema.Int.check(Schema.isBetween({ minimum: 1, maximum: 4096 }))),
   adapter: Schema.optionalKey(Schema.String),
-  /** Tokens of this answer the caller already has: a resumed stream starts after them. */
+  /** Number of response tokens that the caller already has: a resumed stream starts after them. */
   resume: Schema.optionalKey(Schema.Int.check(Schema.isGreaterThanOrEqualTo(0))),
 });
 /** A decoded completion request. */
@@ -33,7 +33,7 @@
   idempotencyKey: "idempotency-key",
 } as const;
 
-/** Why an answer ended. */
+/** Why a completion ended. */
 export const FinishReason = Schema.Literals(["stop", "length", "cancelled"]);
 /** A decoded finish reason. */
 export type FinishReason = typeof FinishReason.Type;
@@ -54,15 +54,15 @@
 /** A decoded chunk. */
 export type Chunk = typeof Chunk.Type;
 
-/** What identifies an answer in its wire shapes. */
+/** Fields that identify a completion in its wire formats. */
 export interface CompletionIdentity {
   readonly id: string;
   readonly model: string;
-  /** Chat completion, or text completion. */
+  /** True for a chat completion, false for a text completion. */
   readonly chat: boolean;
 }
 
-/** One SSE event of a streamed answer: a token, or the end with its reason. */
+/** One SSE event of a streamed completion: a token, or the end with its reason. */
 export function chunkEvent(
   identity: CompletionIdentity,
   content: string | undefined,
@@ -80,7 +80,7 @@
 /** The SSE event that ends a stream. */
 export const doneEvent = "data: [DONE]\n\n";
 
-/** A whole answer as one JSON body. */
+/** A complete, non-streamed completion as one JSON body. */
 export function completionBody(identity: CompletionIdentity, text: string, reason: FinishReason): unknown {
   const choice = identity.chat
     ? { index: 0, message: { role: "assistant", content: text }, finish_reason: reason }
--- a/src/common/platformClient.ts
+++ b/src/common/platformClient.ts
@@ -19,7 +19,7 @@
   readonly url: string;
   /** Per-call timeout in ms. */
   readonly timeoutMs?: number;
-  /** Where calls and bytes are counted. */
+  /** Counters to which calls and bytes are added. */
   readonly traffic?: RpcTraffic;
 }
 
@@ -46,7 +46,7 @@
     return this.rpc.call("table.commit", { writes }, table.CommitResult);
   }
 
-  /** Lists backend hosts (lagging behind reality). */
+  /** Lists backend hosts; the list lags behind their actual state. */
   async hosts(): Promise<readonly Host[]> {
     return this.rpc.call("hosts.list", {}, Schema.Array(Host));
   }
@@ -61,7 +61,7 @@
     await this.rpc.call("weights.fetch", { sizeMb }, Schema.Unknown);
   }
 
-  /** Sets the stand-in's fault switches (tests only). */
+  /** Sets the fault injection of the platform stand-in (tests only). */
   async setFaults(faults: { down: boolean; slowMs: number; loseAcks: number }): Promise<void> {
     await this.rpc.call("faults.set", faults, Schema.Unknown);
   }
--- a/src/common/readWatermark.ts
+++ b/src/common/readWatermark.ts
@@ -1,153 +1,155 @@
 /**
- * The low watermark of what this process reads from its sockets: everything that arrived before it has been read. In a
- * process that is short of processor time, or whose host stood still, the moment of reading says little of the moment of
- * arrival.
+ * Low watermark of this process's socket input: everything that arrived before it has been read. If the process is short
+ * of CPU time, or its host was suspended, data may be read long after it arrived, so the time of reading can't be taken
+ * for the time of arrival.
  */
 import { Emitter } from "./emitter.ts";
 import type { Task } from "./supervisor.ts";
 
-/** Period of marks while the process is in use, ms: one that keeps up lags by about as much at most. */
-const periodMs = 25;
-/** The same while it isn't, ms: marks wake the process. */
-const idlePeriodMs = 250;
-/** Without a request for this long the process isn't in use, ms. */
-const inUseMs = 1_000;
-/** Smaller gaps between the steady clock and the time of day are drift, ms. */
-const frozenMs = 300;
-/** libuv reads this many datagrams of a socket in a turn of the event loop; more may wait. */
-const datagramsPerTurn = 32;
-/** A backlog of connections is accepted before work goes on, for this long at most, ms. */
-const longestDrainMs = 100;
-/** A backlog that lasts for this long, ms, and has had so many connections is more than the process can serve. */
-const swampedMs = 400;
-const swampedAccepts = 50;
-/** What was read longer ago than this, ms, is read again before anything is sent. */
-const staleMs = 50;
+/** Period of marks while the process is in use, ms: the maximum lag of a process that keeps up. */
+const markPeriodMs = 25;
+/** Period of marks while the process is idle, ms: longer, as each mark wakes the process. */
+const idleMarkPeriodMs = 250;
+/** Without a request for this long the process counts as idle, ms. */
+const idleAfterMs = 1_000;
+/** A difference between monotonic and wall clock above this means that the host was suspended; below it is drift, ms. */
+const suspendThresholdMs = 300;
+/** libuv reads at most this many datagrams of a socket per event-loop iteration; more may be pending. */
+const datagramsPerIteration = 32;
+/** Work waits until the backlog of connections is accepted, for at most this long, ms. */
+const maxBacklogWaitMs = 100;
+/** A backlog that lasts longer than this, ms, with at least this many accepted connections exceeds what can be served. */
+const overloadAfterMs = 400;
+const overloadMinAccepts = 50;
+/** If the sockets were last polled longer ago than this, ms, they are polled again before anything is sent. */
+const maxReadAgeMs = 50;
 
 interface Mark {
-  readonly steadyMs: number;
-  readonly dayMs: number;
-  /** Time for which the event loop has had work since its start. */
+  readonly monotonicMs: number;
+  readonly wallMs: number;
+  /** Time for which the event loop was active since its start. */
   readonly activeMs: number;
 }
 
-/** A turn of the event loop. */
+/** An event-loop iteration. */
 export interface LoopIteration {
   readonly tookMs: number;
   readonly endMs: number;
 }
 
-/** Connections that wait to be accepted: a turn of the event loop accepts one from each listener. */
+/** Connections waiting to be accepted: an event-loop iteration accepts one from each listening socket. */
 interface Backlog {
   readonly sinceMs: number;
   accepts: number;
-  /** Fired when it is accepted, or has lasted for as long as it may hold up work. */
-  readonly over: Emitter<undefined>;
+  /** Fired when all are accepted, or when the backlog has delayed work for the maximum time. */
+  readonly released: Emitter<undefined>;
 }
 
-/** Marks turns of the event loop from its start until it is disposed. */
+/** Marks event-loop iterations from its start until it is disposed. */
 export class ReadWatermark implements Task {
   readonly name = "read-watermark";
-  /** A marked turn of the event loop ended. */
+  /** Fired when a marked event-loop iteration has ended. */
   readonly iterationEnded = new Emitter<LoopIteration>();
-  /** What arrived at open sockets, and connections that came, before these marks are read. */
-  private read = readMark();
-  private accepted = this.read;
+  /** Data that arrived at open sockets before `inputMark`, and connections made before `acceptedMark`, have been read. */
+  private inputMark = takeMark();
+  private acceptedMark = this.inputMark;
   private timer: NodeJS.Timeout | undefined;
-  private state: "stopped" | "resting" | "polling" = "stopped";
-  private currentPeriodMs = periodMs;
-  private usedMs = Number.NEGATIVE_INFINITY;
+  private state: "stopped" | "waiting" | "polling" = "stopped";
+  private currentPeriodMs = markPeriodMs;
+  private lastRequestMs = Number.NEGATIVE_INFINITY;
   private accepts = 0;
   private datagrams = 0;
   private backlog: Backlog | undefined;
 
   start(): Promise<void> {
-    this.read = readMark();
-    this.accepted = this.read;
-    this.rest();
+    this.inputMark = takeMark();
+    this.acceptedMark = this.inputMark;
+    this.scheduleNextPoll();
     return Promise.resolve();
   }
 
   dispose(): Promise<void> {
     this.state = "stopped";
     clearTimeout(this.timer);
-    this.backlog?.over.fire(undefined);
+    this.backlog?.released.fire(undefined);
     return Promise.resolve();
   }
 
-  /** Everything that arrived at open sockets before this moment has been read; on the steady clock, ms. */
+  /** Everything that arrived at open sockets before this time has been read; monotonic clock, ms. */
   get readUpToMs(): number {
     return performance.now() - this.lagMs;
   }
 
-  /** For how long what is read now may have lain unread, at most, ms. */
+  /** Maximum time for which data that is read now may have been unread in a socket buffer, ms. */
   get lagMs(): number {
-    return this.since(this.read);
+    return this.lagSince(this.inputMark);
   }
 
-  /** Every connection that came before this moment has been accepted and read, ms. */
+  /** Every connection made before this time has been accepted and its first data read; monotonic clock, ms. */
   get acceptedUpToMs(): number {
-    return performance.now() - this.since(this.accepted);
+    return performance.now() - this.lagSince(this.acceptedMark);
   }
 
-  /** Do more connections wait to be accepted than the process can serve? New ones are better closed at once. */
+  /** True if more connections wait to be accepted than the process can serve; new ones are best closed immediately. */
   get acceptOverloaded(): boolean {
     const { backlog } = this;
-    if (backlog === undefined || backlog.accepts < swampedAccepts) return false;
-    return performance.now() - backlog.sinceMs > swampedMs;
+    if (backlog === undefined || backlog.accepts < overloadMinAccepts) return false;
+    return performance.now() - backlog.sinceMs > overloadAfterMs;
   }
 
-  /** A request was read. */
   recordRequest(): void {
-    this.usedMs = performance.now();
-    if (this.currentPeriodMs !== periodMs) this.pollSoon();
+    this.lastRequestMs = performance.now();
+    if (this.currentPeriodMs !== markPeriodMs) this.pollNextIteration();
   }
 
-  /** A connection was accepted; others may still wait. */
+  /** Records an accepted connection; others may still be waiting. */
   recordAcceptedConnection(): void {
     this.accepts += 1;
-    this.pollSoon();
+    this.pollNextIteration();
   }
 
-  /** A datagram was read; others may still wait. */
+  /** Records a datagram that was read; others may still be pending. */
   recordDatagram(): void {
     this.datagrams += 1;
   }
 
   /**
-   * Resolves once what has arrived by now is read, and the backlog of connections, unless there are too many of them. Those
-   * that wait for it go on together; the later ones of many read again first.
+   * Resolves once everything that has arrived by now is read, including the backlog of connections unless it is too large.
+   * All waiters are released together; if resuming them takes long, the later ones poll the sockets again first.
    */
   async waitUntilCaughtUp(): Promise<void> {
     await waitForPendingInput();
     const { backlog } = this;
-    if (backlog !== undefined) await backlog.over.waitForNext(Math.max(0, longestDrainMs - ageOf(backlog)));
-    while (performance.now() - polledMs > staleMs) await waitForPendingInput();
+    if (backlog !== undefined)
+      await backlog.released.waitForNext(Math.max(0, maxBacklogWaitMs - ageOf(backlog)));
+    while (performance.now() - lastPollMs > maxReadAgeMs) await waitForPendingInput();
   }
 
-  private since(mark: Mark): number {
-    // A process that marks nothing knows nothing of its lag.
+  private lagSince(mark: Mark): number {
+    // Without marks the lag is unknown.
     if (this.state === "stopped") return 0;
-    const now = readMark();
-    const steadyMs = now.steadyMs - mark.steadyMs;
-    const frozen = now.dayMs - mark.dayMs - steadyMs;
-    if (frozen > frozenMs) return steadyMs + frozen;
-    // Between rare marks: a loop that waited for input had read all.
-    return this.currentPeriodMs === periodMs ? steadyMs : Math.min(steadyMs, now.activeMs - mark.activeMs);
+    const now = takeMark();
+    const elapsedMs = now.monotonicMs - mark.monotonicMs;
+    const suspendedMs = now.wallMs - mark.wallMs - elapsedMs;
+    if (suspendedMs > suspendThresholdMs) return elapsedMs + suspendedMs;
+    // While idle, marks are rare: the time that the loop spent waiting for input isn't lag.
+    return this.currentPeriodMs === markPeriodMs
+      ? elapsedMs
+      : Math.min(elapsedMs, now.activeMs - mark.activeMs);
   }
 
-  private rest(): void {
-    this.state = "resting";
-    const inUse = performance.now() - this.usedMs < inUseMs;
-    this.currentPeriodMs = inUse ? periodMs : idlePeriodMs;
+  private scheduleNextPoll(): void {
+    this.state = "waiting";
+    const inUse = performance.now() - this.lastRequestMs < idleAfterMs;
+    this.currentPeriodMs = inUse ? markPeriodMs : idleMarkPeriodMs;
     this.timer = setTimeout(() => {
       this.poll();
     }, this.currentPeriodMs);
   }
 
-  /** Polls from the next turn on: the sockets of this one were polled before now. */
-  private pollSoon(): void {
-    if (this.state !== "resting") return;
+  /** Polls from the next iteration on: the current one has already polled its sockets. */
+  private pollNextIteration(): void {
+    if (this.state !== "waiting") return;
     this.state = "polling";
     clearTimeout(this.timer);
     setImmediate(() => {
@@ -157,62 +159,62 @@
 
   private poll(): void {
     this.state = "polling";
-    const mark = readMark();
+    const mark = takeMark();
     const { accepts } = this;
     this.datagrams = 0;
-    // Immediates run after the sockets were polled, which happens after the mark.
+    // Immediates run after the poll phase, which comes after the mark.
     setImmediate(() => {
       if (this.state === "stopped") return;
       const newAccepts = this.accepts - accepts;
-      const readAll = this.datagrams < datagramsPerTurn;
-      this.endTurn(mark, newAccepts, readAll);
-      if (newAccepts === 0 && readAll) this.rest();
+      const readAll = this.datagrams < datagramsPerIteration;
+      this.endIteration(mark, newAccepts, readAll);
+      if (newAccepts === 0 && readAll) this.scheduleNextPoll();
       else this.poll();
     });
   }
 
-  private endTurn(mark: Mark, newAccepts: number, readAll: boolean): void {
+  private endIteration(mark: Mark, newAccepts: number, readAll: boolean): void {
     const endMs = performance.now();
-    polledMs = mark.steadyMs;
-    if (readAll) this.read = mark;
+    lastPollMs = mark.monotonicMs;
+    if (readAll) this.inputMark = mark;
     if (newAccepts === 0) {
-      // What came with the last connection was read in this turn.
-      this.accepted = mark;
-      this.backlog?.over.fire(undefined);
+      // The data of the last accepted connection was read in this iteration.
+      this.acceptedMark = mark;
+      this.backlog?.released.fire(undefined);
       this.backlog = undefined;
     } else {
-      this.backlog ??= { sinceMs: endMs, accepts: 0, over: new Emitter() };
+      this.backlog ??= { sinceMs: endMs, accepts: 0, released: new Emitter() };
       this.backlog.accepts += newAccepts;
-      if (ageOf(this.backlog) > longestDrainMs) this.backlog.over.fire(undefined);
+      if (ageOf(this.backlog) > maxBacklogWaitMs) this.backlog.released.fire(undefined);
     }
-    this.iterationEnded.fire({ tookMs: endMs - mark.steadyMs, endMs });
+    this.iterationEnded.fire({ tookMs: endMs - mark.monotonicMs, endMs });
   }
 }
 
-/** When the sockets were polled last, as far as it is known, ms. */
-let polledMs = Number.NEGATIVE_INFINITY;
-let reading: Promise<void> | undefined;
+/** Latest known time at which the sockets were polled; monotonic clock, ms. */
+let lastPollMs = Number.NEGATIVE_INFINITY;
+let pendingRead: Promise<void> | undefined;
 
 /**
- * Resolves once everything that has arrived at open sockets by now is read, and its callbacks have run: a caller's
- * departure, a server's answer.
+ * Resolves once everything that has arrived at open sockets by now is read and its callbacks have run, such as for a
+ * caller's disconnect or a server's response.
  */
 export function waitForPendingInput(): Promise<void> {
-  // The first immediate may run before the sockets are polled again.
-  reading ??= new Promise((resolve) => {
+  // The first immediate may run before the next poll phase.
+  pendingRead ??= new Promise((resolve) => {
     setImmediate(() => {
-      reading = undefined;
+      pendingRead = undefined;
       const beforeMs = performance.now();
       setImmediate(() => {
-        polledMs = beforeMs;
+        lastPollMs = beforeMs;
         resolve();
       });
     });
   });
-  return reading;
+  return pendingRead;
 }
 
-/** Calls back after `ms`, when what has arrived by then is read: what was waited for may be among it. */
+/** Like `setTimeout`, but reads pending input before calling back: the awaited data may already have arrived. */
 export function setTimeoutAfterInput(ms: number, callback: () => void): NodeJS.Timeout {
   return setTimeout(() => void waitForPendingInput().then(callback), ms);
 }
@@ -221,7 +223,7 @@
   return performance.now() - sinceMs;
 }
 
-function readMark(): Mark {
+function takeMark(): Mark {
   const { active } = performance.eventLoopUtilization();
-  return { steadyMs: performance.now(), dayMs: Date.now(), activeMs: active };
+  return { monotonicMs: performance.now(), wallMs: Date.now(), activeMs: active };
 }
--- a/src/common/rpc.ts
+++ b/src/common/rpc.ts
@@ -1,6 +1,6 @@
 /**
  * JSON-RPC 2.0 between our processes (and to the platform stand-in), over HTTP POST `/rpc`.
- * Failures travel as JSON-RPC errors whose `data` is a `FailureBody`, so the kind survives the hop.
+ * Failures are sent as JSON-RPC errors whose `data` is a `FailureBody`, so that their kind is preserved.
  */
 import type * as http from "node:http";
 import * as jsonrpc from "json-rpc-2.0";
@@ -9,12 +9,12 @@
 import { decode } from "./decode.ts";
 import { readJson, sendJson } from "./http.ts";
 
-/** A method handler: decoded params in, a JSON-able result out. */
+/** A method handler: takes the params and returns a JSON-serializable result. */
 export type Handler = (params: unknown) => Promise<unknown>;
 
 /** Serves a table of named handlers. */
 export class RpcEndpoint {
-  // Failures are answered to the caller and logged by the roles; the library's own console output is off.
+  // Failures are returned to the caller and logged by the roles; the library's own console output is disabled.
   private readonly server = new jsonrpc.JSONRPCServer({ errorListener: () => undefined });
 
   constructor(handlers: Readonly<Record<string, Handler>>) {
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Answers one HTTP request carrying a JSON-RPC call. */
+  /** Handles one HTTP request that carries a JSON-RPC call. */
   async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const body = await readJson(req);
     const reply = await this.server.receive(body as jsonrpc.JSONRPCRequest);
@@ -38,13 +38,13 @@
   }
 }
 
-/** Control-plane traffic of one node: calls made and bytes sent and received, summed over its clients. */
+/** Control-plane traffic of one node: calls made, bytes sent and received, summed over its clients. */
 export class RpcTraffic {
   calls = 0;
   bytesSent = 0;
   bytesReceived = 0;
 
-  /** Bytes both ways so far. */
+  /** Bytes sent and received so far. */
   get bytes(): number {
     return this.bytesSent + this.bytesReceived;
   }
@@ -52,17 +52,17 @@
 
 /** Options of an `RpcClient`. */
 export interface RpcClientOptions {
-  /** Where this client adds its calls and bytes; none by default. */
+  /** Counters to which this client adds its calls and bytes; none by default. */
   readonly traffic?: RpcTraffic;
   /** Base URL of the peer, e.g. `http://127.0.0.1:7000`. */
   readonly url: string;
-  /** Per-call timeout in ms; a silent connection fails the call instead of hanging it. */
+  /** Per-call timeout in ms; on an unresponsive connection the call fails instead of hanging. */
   readonly timeoutMs?: number;
 }
 
 const clientDefaults = { timeoutMs: 2000 };
 
-/** Calls a peer's handlers; every failure comes back as a `Failure` (`platform-unavailable` if unreachable). */
+/** Calls a peer's handlers; every failure is thrown as a `Failure` (`platform-unavailable` if unreachable). */
 export class RpcClient {
   private readonly endpoint: string;
   private readonly timeoutMs: number;
@@ -85,9 +85,9 @@
   }
 
   /**
-   * One exchange. Guards "an unreachable store is answered as an internal error": a refused or silent
-   * connection is the peer's absence, which callers of this client must be able to tell from a fault of
-   * their own (a claim that could not be made is "not run").
+   * Sends one request. A refused or unresponsive connection is reported as `platform-unavailable` rather than as an
+   * internal error: callers have to distinguish an unreachable peer from a fault of their own (a request whose claim could
+   * not be written is "not run").
    */
   private async post(request: jsonrpc.JSONRPCRequest): Promise<jsonrpc.JSONRPCResponse> {
     const body = JSON.stringify(request);
@@ -110,5 +110,5 @@
   }
 }
 
-/** Decodes handler params, answering `bad-request` when they do not fit. */
+/** Decodes handler params; throws `bad-request` if they are invalid. */
 export const decodeParams = decode;
--- a/src/common/supervisor.ts
+++ b/src/common/supervisor.ts
@@ -1,6 +1,6 @@
 /**
- * The supervisor tree: a supervisor starts its child tasks in order and stops them in reverse.
- * A task owns its sockets, timers and state; it talks to others only through the messages it exposes.
+ * Supervisor tree: a supervisor starts its child tasks in order and stops them in reverse order.
+ * A task owns its sockets, timers and state, and communicates with others only through the interface it exposes.
  */
 import type { Log } from "./log.ts";
 
@@ -11,7 +11,7 @@
   dispose(): Promise<void>;
 }
 
-/** Starts children in order, stops them in reverse; a child that fails to start stops those before it. */
+/** Starts children in order and stops them in reverse; if a child fails to start, those before it are stopped. */
 export class Supervisor implements Task {
   private readonly started: Task[] = [];
 
@@ -21,7 +21,6 @@
     private readonly log: Log,
   ) {}
 
-  /** Starts every child in order. */
   async start(): Promise<void> {
     for (const child of this.children) {
       try {
@@ -42,8 +41,8 @@
 }
 
 /**
- * Runs `step` every `everyMs` until disposed, never two at once. A step that throws is logged and the
- * loop goes on: one bad round (a platform outage, a dead peer) must not end the task.
+ * Runs `step` every `everyMs` until disposed, never two concurrently. If a step throws, the error is logged and the
+ * loop continues: one failed step (a platform outage, a crashed peer) must not end the task.
  */
 export class Loop {
   private timer: NodeJS.Timeout | undefined;
@@ -57,18 +56,18 @@
     private readonly log: Log,
   ) {}
 
-  /** Runs the first step now and schedules the rest. */
+  /** Runs the first step immediately and schedules the others. */
   async start(): Promise<void> {
     this.scheduled = true;
     await this.tick();
     clearInterval(this.timer);
-    // The first step may have been the last.
+    // The loop may have been disposed during the first step.
     if (!this.scheduled) return;
     this.timer = setInterval(() => void this.tick(), this.everyMs);
     this.timer.unref();
   }
 
-  /** Runs one step now (if none is running); for tests and for pushing a change through. */
+  /** Runs one step immediately unless one is running. */
   async tick(): Promise<void> {
     if (this.running) return;
     this.running = true;
@@ -89,8 +88,8 @@
 }
 
 /**
- * A task whose work is one `step` repeated every `everyMs` (polls, heartbeats, placement rounds).
- * `refresh` runs a step now, for tests and for pushing a change through without waiting.
+ * A task that repeats one `step` every `everyMs` (polls, heartbeats, placement rounds).
+ * `refresh` runs a step immediately, for tests and to apply a change without waiting for the next period.
  */
 export abstract class PeriodicTask implements Task {
   private readonly loop: Loop;
@@ -103,7 +102,7 @@
     this.loop = new Loop(name, everyMs, () => this.step(), log);
   }
 
-  /** Runs the first step, then one every period. */
+  /** Runs the first step immediately, then one every period. */
   async start(): Promise<void> {
     await this.loop.start();
   }
@@ -114,21 +113,21 @@
     return Promise.resolve();
   }
 
-  /** Schedules no steps until `resume`: a task without work would only wake the process. */
+  /** Suspends the steps until `resume`: a task without work would wake the process for nothing. */
   pause(): void {
     this.loop.dispose();
   }
 
-  /** Goes on after `pause`. */
+  /** Continues after `pause`; runs a step immediately. */
   async resume(): Promise<void> {
     await this.loop.start();
   }
 
-  /** Runs one step now (unless one is running). */
+  /** Runs one step immediately unless one is running. */
   async refresh(): Promise<void> {
     await this.loop.tick();
   }
 
-  /** One round of the task's work; a throw is logged and the next round runs as planned. */
+  /** One round of the task's work; a thrown error is logged and the next round runs as scheduled. */
   protected abstract step(): Promise<void>;
 }
--- a/src/common/table.ts
+++ b/src/common/table.ts
@@ -1,7 +1,7 @@
 /** Messages of the platform table service: versioned rows, conditional writes, multi-row transactions. */
 import * as Schema from "effect/Schema";
 
-/** One row: `version` starts at 1 on create and rises by one on each write; `revision` is the commit sequence. */
+/** One row: `version` starts at 1 on creation and increases by one with each write; `revision` is the commit sequence. */
 export const Row = Schema.Struct({
   key: Schema.String,
   value: Schema.Unknown,
@@ -27,7 +27,7 @@
 export const GetParams = Schema.Struct({ key: Schema.String });
 /** `table.scan` params: rows whose key starts with `prefix` and whose revision is above `since`. */
 export const ScanParams = Schema.Struct({ prefix: Schema.String, since: Schema.optionalKey(Schema.Number) });
-/** `table.commit` params: all writes apply or none do. */
+/** `table.commit` params: either all writes are applied or none. */
 export const CommitParams = Schema.Struct({ writes: Schema.Array(Write) });
 
 /** `table.get` result. */
--- a/src/common/template.ts
+++ b/src/common/template.ts
@@ -1,6 +1,6 @@
 /**
- * Templates: what an operator instantiates per customer. A template names the models (with adapters and
- * versions) and plain services a customer needs, its priority and its share of the pool.
+ * Templates, which operators instantiate per customer. A template names the models (with versions and adapters) and
+ * plain services that a customer needs, its priority and its share of the pool.
  */
 import * as Schema from "effect/Schema";
 
@@ -23,7 +23,7 @@
 /** A decoded model spec. */
 export type ModelSpec = typeof ModelSpec.Type;
 
-/** A call of a plain service; `idempotent: false` calls run at most once per idempotency key. */
+/** A call of a plain service; calls with `idempotent: false` run at most once per idempotency key. */
 export const ServiceCall = Schema.Struct({ name: Name, idempotent: Schema.Boolean });
 /** A decoded service call. */
 export type ServiceCall = typeof ServiceCall.Type;
@@ -42,7 +42,7 @@
 /** A decoded priority. */
 export type Priority = typeof Priority.Type;
 
-/** A template as an operator writes it. `moveWeight` in [0, 1]: 0 favours attainment, 1 favours few moves. */
+/** A template as written by an operator. `moveWeight` in [0, 1]: 0 favours attainment, 1 favours few moves. */
 export const Template = Schema.Struct({
   name: Name,
   customer: Name,
@@ -60,11 +60,11 @@
   template: Template,
   version: Schema.Number,
   retired: Schema.Boolean,
-  /** Random id of the write that stored this version, so a writer can recognise its own write. */
+  /** Random id of the write that stored this version, by which a writer recognises its own write. */
   writeId: Schema.optionalKey(Schema.String),
 });
 /** A decoded stored template. */
 export type StoredTemplate = typeof StoredTemplate.Type;
 
-/** Table-service key prefix under which templates live. */
+/** Key prefix of templates in the table service. */
 export const templatePrefix = "templates/";
--- a/src/common/templateStore.ts
+++ b/src/common/templateStore.ts
@@ -1,6 +1,6 @@
 /**
  * Operator template commands against the table service: create, apply (change), retire, list. Writes are
- * conditional on the version read, so operators racing on one template get one winner and a `conflict`.
+ * conditional on the version read: of concurrent changes to one template one succeeds, the others fail with `conflict`.
  */
 import * as crypto from "node:crypto";
 import { decode } from "./decode.ts";
@@ -53,15 +53,18 @@
     try {
       await this.platform.commit([{ key: templatePrefix + template.name, value, expectVersion }]);
     } catch (error) {
-      // Guards "an applied change reported as failed": when the answer is lost the write may still
-      // have landed; the row is read back and our own write id proves it did.
-      if (toFailure(error).kind !== "platform-unavailable" || !(await this.landed(template.name, writeId)))
+      // If the response is lost, the write may still have been committed. The row is read back, and our own write id in it
+      // proves the commit, so that an applied change isn't reported as failed.
+      if (
+        toFailure(error).kind !== "platform-unavailable" ||
+        !(await this.wasCommitted(template.name, writeId))
+      )
         throw error;
     }
     return version;
   }
 
-  private async landed(name: string, writeId: string): Promise<boolean> {
+  private async wasCommitted(name: string, writeId: string): Promise<boolean> {
     try {
       const row = await this.platform.get(templatePrefix + name);
       return row !== null && decode(StoredTemplate, row.value, "internal").writeId === writeId;
--- a/src/common/textHash.ts
+++ b/src/common/textHash.ts
@@ -1,16 +1,16 @@
-/** A hash for placing keys on servers: fast and evenly spread, not safe against keys made to collide. */
+/** Non-cryptographic hash for mapping keys to servers: fast and uniform, not resistant to crafted collisions. */
 
 const offsetBasis = 0x811c9dc5;
 const prime = 0x01000193;
 
-/** Hash of a text so far (FNV-1a); `from` goes on after an earlier part. */
-export function hashText(text: string, from = offsetBasis): number {
-  let hash = from;
+/** FNV-1a hash of a text; pass the hash of a preceding part as `initial` to continue it. */
+export function hashText(text: string, initial = offsetBasis): number {
+  let hash = initial;
   for (let i = 0; i < text.length; i += 1) hash = Math.imul(hash ^ text.charCodeAt(i), prime);
   return hash;
 }
 
-/** Spreads a hash over all 32 bits, so that texts which differ in their last character are far apart (MurmurHash3). */
+/** Mixes all 32 bits (MurmurHash3 finalizer), so that texts that differ only in the last character get unrelated hashes. */
 export function mixHash(hash: number): number {
   let mixed = hash ^ (hash >>> 16);
   mixed = Math.imul(mixed, 0x85ebca6b);
--- a/src/common/tokenBucket.ts
+++ b/src/common/tokenBucket.ts
@@ -1,8 +1,8 @@
-/** A bucket of tokens: filled up to its capacity, emptied one by one. */
+/** A token bucket that its owner refills explicitly, up to its capacity. */
 export class TokenBucket {
   private tokens: number;
 
-  /** A bucket of `capacity` tokens, full unless `tokens` says otherwise. */
+  /** Creates a bucket that holds at most `capacity` tokens; full by default. */
   constructor(
     private capacity: number,
     tokens = capacity,
@@ -10,28 +10,28 @@
     this.tokens = tokens;
   }
 
-  /** From now on it holds `capacity` tokens at most. */
+  /** Changes the capacity; surplus tokens are discarded. */
   resize(capacity: number): void {
     this.capacity = capacity;
     this.tokens = Math.min(capacity, this.tokens);
   }
 
-  /** Whole tokens in the bucket. */
+  /** Number of whole tokens in the bucket. */
   get availableTokens(): number {
     return Math.floor(this.tokens);
   }
 
-  /** What is missing of the next whole token, 0 if there is one. */
+  /** Fraction missing to the next whole token; 0 if there is one. */
   get deficit(): number {
     return Math.max(0, 1 - this.tokens);
   }
 
-  /** Adds tokens (parts of one included); what goes over the capacity is lost. */
+  /** Adds tokens, possibly a fraction of one; those beyond the capacity are discarded. */
   add(tokens: number): void {
     this.tokens = Math.min(this.capacity, this.tokens + tokens);
   }
 
-  /** Takes a token; false if there is none. */
+  /** Takes one token; returns false if there is none. */
   take(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
