--- a/bin/parsleynotch.js
+++ b/bin/parsleynotch.js
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// Runs the TypeScript sources through tsx's loader, so the repo needs no build step.
+// Runs the TypeScript sources through tsx's loader, so that no build step is needed.
 import { register } from "tsx/esm/api";
 
 register();
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,16 +1,16 @@
-// Lint: typescript-eslint strict + stylistic (type-checked), prettier owns formatting,
-// and layering: common/ imports no role, and no role imports another role.
+// Lint: typescript-eslint strict and stylistic (type-checked); formatting is left to prettier.
+// Layering: common/ imports no role, and no role imports another role.
 import js from "@eslint/js";
 import prettier from "eslint-config-prettier";
 import tseslint from "typescript-eslint";
 
 const roles = ["entry", "gateway", "platform", "engine", "service", "bench", "cli"];
-/** Library folders between common/ and the roles: they import common/ and themselves, roles may import them. */
+/** Library folders between common/ and the roles: they may import common/ and themselves, and roles may import them. */
 const libraries = ["placement", "serving"];
-/** Folders that compose roles (the CLI and the bench run them); no role imports these. */
+/** Folders that run roles (the CLI and the benchmarks); no role imports these. */
 const composers = ["cli", "bench"];
 
-/** Only the command line connects a node to the adapter in platform/ at the root. */
+/** Only the composers may import the platform adapter in platform/ at the root. */
 function adapterPattern(folder) {
   if (composers.includes(folder)) return [];
   return [
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,5 +1,5 @@
-// Bundles the program into target/: parsleynotch.cjs starts it. The gateway is one script with its code cache; the other
-// subcommands are a chunk each that is loaded when named.
+// Bundles the program into target/, with parsleynotch.cjs as its entry point. The gateway is bundled as a single script
+// with a code cache; each of the other subcommands is a chunk that is loaded on demand.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as esbuild from "esbuild";
@@ -11,12 +11,12 @@
   platform: "node",
   target: "node20",
   minify: true,
-  // Class and function names show in errors and logs.
+  // Names of classes and functions appear in errors and logs.
   keepNames: false,
   legalComments: "none",
 };
 
-/** Parts of prom-client that the gateway doesn't use; they load TLS, compression and child processes at a start. */
+/** Replaces parts of prom-client that the gateway doesn't use: they would load TLS, compression and child processes at startup. */
 const unusedMetricsParts = {
   name: "unused-metrics-parts",
   setup(build) {
@@ -45,7 +45,7 @@
   outExtension: { ".js": ".cjs" },
   format: "cjs",
   plugins: [unusedMetricsParts],
-  // Characters beyond ASCII are escaped, so that the script is held as one byte each.
+  // Escapes non-ASCII characters, so that V8 stores the script with one byte per character.
   charset: "ascii",
   banner: { js: "(function (require) { const module = { exports: {} };" },
   footer: { js: "})" },
--- a/scripts/launcher.cjs
+++ b/scripts/launcher.cjs
@@ -1,11 +1,11 @@
-// The start of the built program (target/parsleynotch.cjs). A gateway node runs as one script with V8's code cache beside
-// it, so that a start doesn't compile it again; every other subcommand is loaded from modules.
+// Entry point of the built program (target/parsleynotch.cjs). The gateway runs as a single script with V8's code cache
+// next to it, so that it isn't compiled again at every start; all other subcommands are loaded as modules.
 "use strict";
 const fs = require("node:fs");
 const path = require("node:path");
 const vm = require("node:vm");
 
-/** Undefined where there is none: the script is compiled then, as with a cache of another V8 or other options. */
+/** Returns undefined if there is no cache; the script is then compiled, as with a cache of another V8 version or options. */
 function readCache(file) {
   try {
     return fs.readFileSync(file);
--- a/src/cli/demoCommand.ts
+++ b/src/cli/demoCommand.ts
@@ -1,4 +1,4 @@
-/** `parsleynotch demo` (`npm start`): runs the embedded default, sends sample requests, prints answers, exits. */
+/** `parsleynotch demo` (`npm start`): runs the embedded system, sends sample requests and prints the responses. */
 import * as commander from "commander";
 import { EmbeddedSystem } from "./embeddedSystem.ts";
 
@@ -67,16 +67,21 @@
 /** The `demo` command. */
 export function demoCommand(): commander.Command {
   return new commander.Command("demo")
-    .description("Run the whole path in one process on loopback, send sample requests, print answers, exit")
+    .description(
+      "Run the whole system in one process on loopback, send sample requests, print the responses and exit",
+    )
     .action(async () => {
       const system = new EmbeddedSystem();
       await system.start();
       try {
         for (const [i, sample] of samples.entries()) await send(system.entryUrl(i % 2), sample);
-        const again = samples[3];
-        if (again !== undefined)
-          await send(system.entryUrl(0), { ...again, title: `${again.title}, retried with the same key` });
-        await summary(system);
+        const repeated = samples[3];
+        if (repeated !== undefined)
+          await send(system.entryUrl(0), {
+            ...repeated,
+            title: `${repeated.title}, retried with the same key`,
+          });
+        await printSummary(system);
       } finally {
         await system.dispose();
       }
@@ -110,7 +115,7 @@
   return `(streamed) ${pieces.join("")}`;
 }
 
-async function summary(system: EmbeddedSystem): Promise<void> {
+async function printSummary(system: EmbeddedSystem): Promise<void> {
   const executions = [...system.services.values()].flatMap((service) =>
     service.executions.map((e) => e.call),
   );
@@ -122,6 +127,6 @@
     );
   }
   process.stdout.write(
-    `   service executions: ${JSON.stringify(executions)} (the slip ran once despite the retry)\n`,
+    `   service executions: ${JSON.stringify(executions)} (the slip was executed once despite the retry)\n`,
   );
 }
--- a/src/cli/embeddedSystem.ts
+++ b/src/cli/embeddedSystem.ts
@@ -1,6 +1,6 @@
 /**
- * The embedded default: platform stand-in, engine and service stand-ins and two entry nodes in one
- * process on loopback, as tasks (no process starts another). Used by `demo` and by tests.
+ * The embedded system: platform stand-in, engine and service stand-ins and two entry nodes as tasks in a single
+ * process on loopback. Used by `demo`.
  */
 import { DisposableStore } from "../common/disposables.ts";
 import { PlatformClient } from "../common/platformClient.ts";
@@ -11,18 +11,18 @@
 import { andes, ovaseker, type ServiceAddresses } from "./sampleTemplates.ts";
 import { TemplateStore } from "../common/templateStore.ts";
 
-/** The running parts of an embedded system. */
+/** The components of an embedded system. */
 export class EmbeddedSystem {
   readonly platform = new PlatformServer({ hostLagMs: 0 });
   readonly engines: EngineServer[] = [];
   readonly services = new Map<keyof ServiceAddresses, ServiceServer>();
   readonly entries: EntryNode[] = [];
-  private readonly store = new DisposableStore();
+  private readonly disposables = new DisposableStore();
 
-  /** Starts every part and writes the sample templates; resolves once each model is ready somewhere. */
+  /** Starts all components and writes the sample templates; resolves once each model is ready on an engine. */
   async start(): Promise<void> {
     const platformUrl = `http://127.0.0.1:${await this.platform.start()}`;
-    this.store.add(this.platform);
+    this.disposables.add(this.platform);
     const client = new PlatformClient({ url: platformUrl });
     for (const [i, zone] of ["zone-a", "zone-a", "zone-b", "zone-b"].entries()) {
       const engine = new EngineServer({
@@ -33,7 +33,7 @@
         loadMs: 20,
       });
       const port = await engine.start();
-      this.store.add(engine);
+      this.disposables.add(engine);
       this.engines.push(engine);
       await client.setHost({ address: `http://127.0.0.1:${port}`, zone, kind: "engine", state: "live" });
     }
@@ -41,7 +41,7 @@
     for (const name of ["catalog", "weighbridge", "slips"] as const) {
       const service = new ServiceServer({ name });
       addresses[name] = `http://127.0.0.1:${await service.start()}`;
-      this.store.add(service);
+      this.disposables.add(service);
       this.services.set(name, service);
     }
     const templates = new TemplateStore(client);
@@ -50,10 +50,10 @@
     for (const [i, zone] of ["zone-a", "zone-b"].entries()) {
       const entry = new EntryNode({ id: `entry-${i + 1}`, zone, platformUrl, pollMs: 200 });
       await entry.start();
-      this.store.add(entry);
+      this.disposables.add(entry);
       this.entries.push(entry);
     }
-    await this.untilPlaced();
+    await this.waitUntilPlaced();
   }
 
   /** Base URL of entry node `i`. */
@@ -61,15 +61,14 @@
     return `http://127.0.0.1:${this.entries[i]?.port ?? 0}`;
   }
 
-  /** Stops everything. */
   async dispose(): Promise<void> {
-    await this.store.dispose();
+    await this.disposables.dispose();
   }
 
-  private async untilPlaced(timeoutMs = 10_000): Promise<void> {
-    const until = Date.now() + timeoutMs;
-    const wanted = ["syllabus-8b", "counter-3b", "intake-8b"];
-    while (Date.now() < until) {
+  private async waitUntilPlaced(timeoutMs = 10_000): Promise<void> {
+    const deadline = Date.now() + timeoutMs;
+    const expectedModels = ["syllabus-8b", "counter-3b", "intake-8b"];
+    while (Date.now() < deadline) {
       const ready = new Set(
         this.engines.flatMap((e) =>
           e.memory
@@ -78,12 +77,12 @@
             .map((r) => r.model),
         ),
       );
-      if (wanted.every((model) => ready.has(model))) {
+      if (expectedModels.every((model) => ready.has(model))) {
         for (const entry of this.entries) await entry.fleet.refresh();
         return;
       }
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    throw new Error("models were not placed in time");
+    throw new Error("models were not placed within the timeout");
   }
 }
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,4 +1,4 @@
-/** `parsleynotch explain`: the story of one request, from the logs of the hosts. */
+/** `parsleynotch explain`: prints the timeline of one request from the logs of the hosts. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as commander from "commander";
@@ -8,18 +8,18 @@
 
 const standardInput = 0;
 
-/** Makes the subcommand. */
+/** Creates the subcommand. */
 export function explainCommand(): commander.Command {
   return new commander.Command("explain")
-    .description("Tell what happened to a request, from the log lines of all hosts")
-    .argument("<request-id>", "id of one attempt of a caller")
-    .argument("[logs...]", "log files, one a host; standard input without any")
+    .description("Show the timeline of a request from the logs of all hosts")
+    .argument("<request-id>", "request id of one attempt of a caller")
+    .argument("[logs...]", "log files, one per host; standard input by default")
     .action((requestId: string, logs: string[]) => {
       const read = logs.length === 0 ? [readLog("log", readText(standardInput))] : logs.map(readFile);
       const lines: LogLine[] = read.flatMap((log) => log.lines);
       for (const line of requestTimeline(lines, requestId)) process.stdout.write(`${line}\n`);
       const skipped = read.reduce((sum, log) => sum + log.skipped, 0);
-      if (skipped > 0) process.stderr.write(`${skipped} lines are not of a parsleynotch log\n`);
+      if (skipped > 0) process.stderr.write(`${skipped} lines skipped: not parsleynotch log lines\n`);
     });
 }
 
@@ -31,6 +31,6 @@
   try {
     return fs.readFileSync(file, "utf8");
   } catch (error) {
-    throw new Failure("bad-request", `can't read ${String(file)}: ${String(error)}`);
+    throw new Failure("bad-request", `cannot read ${String(file)}: ${String(error)}`);
   }
 }
--- a/src/cli/gatewayMain.ts
+++ b/src/cli/gatewayMain.ts
@@ -1,14 +1,14 @@
-/** The `gateway` subcommand alone, as one script: its compiled code can be cached. */
-import { settingsVariable } from "../../platform/index.ts";
+/** Entry point with only the `gateway` subcommand, bundled as one script so that its compiled code can be cached. */
+import { settingsEnvironmentVariable } from "../../platform/index.ts";
 import { reportFailures } from "./reportFailures.ts";
 import { runGateway } from "./runGateway.ts";
 
-const settings = process.env[settingsVariable];
-const words = process.argv.slice(3);
+const settings = process.env[settingsEnvironmentVariable];
+const extraArguments = process.argv.slice(3);
 
 void reportFailures(async () => {
-  // As the platform runs it; anything else is for the full command line, which takes longer to load.
-  if (settings !== undefined && settings !== "" && words.length === 0) {
+  // This is how the platform runs it. Any other invocation needs the command-line parser, which takes longer to load.
+  if (settings !== undefined && settings !== "" && extraArguments.length === 0) {
     await runGateway(settings);
     return;
   }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,10 +1,10 @@
-/** The `parsleynotch` binary: one subcommand per role, plus operator and demo commands. */
+/** Entry point of the `parsleynotch` command: a subcommand per role, plus operator, benchmark and demo commands. */
 import { runProgram, type Commands } from "./program.ts";
 import { reportFailures } from "./reportFailures.ts";
 
 /**
- * Subcommands, loaded when named: a gateway node then doesn't hold the code of stand-ins and benches in
- * memory, nor spend start-up time on it.
+ * Subcommands, loaded on demand: a gateway node doesn't load the code of stand-ins and benchmarks, which would cost
+ * memory and start-up time.
  */
 const commands: Commands = {
   gateway: async () => (await import("./gatewayCommand.ts")).gatewayCommand(),
--- a/src/cli/reportFailures.ts
+++ b/src/cli/reportFailures.ts
@@ -1,4 +1,4 @@
-/** Failures of a command: logged, told on standard error, and given as the exit code. */
+/** Reports the failure of a command in the log, on standard error and by the exit code. */
 import { toFailure } from "../common/errors.ts";
 import { createLog } from "../common/log.ts";
 
--- a/src/cli/roleCommands.ts
+++ b/src/cli/roleCommands.ts
@@ -1,4 +1,4 @@
-/** Subcommands that run one role each as a long-lived process; SIGTERM stops it gracefully. */
+/** Subcommands that each run one role as a long-lived process; SIGTERM stops it gracefully. */
 import * as commander from "commander";
 import * as Schema from "effect/Schema";
 import { routingPolicies } from "../entry/routingPolicies.ts";
@@ -45,20 +45,27 @@
     .addOption(option("--id <id>", "node id, unique among entry nodes", "ID", "entry-1"))
     .addOption(option("--zone <zone>", "availability zone of this host", "ZONE", "zone-a"))
     .addOption(
-      option("--platform <url>", "platform (table service) base URL", "PLATFORM", "http://127.0.0.1:7000"),
+      option(
+        "--platform <url>",
+        "base URL of the platform (table service)",
+        "PLATFORM",
+        "http://127.0.0.1:7000",
+      ),
     )
     .addOption(option("--host <ip>", "address to bind", "HOST", "127.0.0.1"))
     .addOption(option("--port <n>", "port to bind (0: any)", "PORT", "8080"))
-    .addOption(option("--poll-ms <ms>", "config, fleet and placement period", "POLL_MS", "500"))
-    .addOption(option("--drain-ms <ms>", "longest graceful drain on SIGTERM", "DRAIN_MS", "20000"))
-    .addOption(option("--attempts <n>", "tries per completion across replicas", "ATTEMPTS", "2"))
+    .addOption(option("--poll-ms <ms>", "polling period of config, fleet and placement", "POLL_MS", "500"))
+    .addOption(
+      option("--drain-ms <ms>", "maximum duration of the graceful drain on SIGTERM", "DRAIN_MS", "20000"),
+    )
+    .addOption(option("--attempts <n>", "maximum attempts per completion across replicas", "ATTEMPTS", "2"))
     .addOption(
-      option("--idle-timeout-ms <ms>", "give up a silent engine connection after", "IDLE_TIMEOUT_MS", "5000"),
+      option("--idle-timeout-ms <ms>", "idle timeout of an engine connection", "IDLE_TIMEOUT_MS", "5000"),
     )
     .addOption(
       option(
         "--peers <urls>",
-        "other entry nodes, comma-separated, asked while the platform is away",
+        "other entry nodes, comma-separated, queried while the platform is unavailable",
         "PEERS",
         "",
       ),
@@ -66,9 +73,21 @@
     .addOption(option("--placement <policy>", placementPolicies.join(", "), "PLACEMENT", "demand"))
     .addOption(option("--routing <policy>", routingPolicies.join(", "), "ROUTING", "balanced"))
     .addOption(
-      option("--loads-per-second <n>", "loads the weight store gives a second", "LOADS_PER_SECOND", "1"),
+      option(
+        "--loads-per-second <n>",
+        "model loads per second allowed by the weight store",
+        "LOADS_PER_SECOND",
+        "1",
+      ),
+    )
+    .addOption(
+      option(
+        "--loads-at-once <n>",
+        "concurrent model loads allowed by the weight store",
+        "LOADS_AT_ONCE",
+        "5",
+      ),
     )
-    .addOption(option("--loads-at-once <n>", "loads the weight store gives at once", "LOADS_AT_ONCE", "5"))
     .addOption(option("--lease-ttl-ms <ms>", "placement lease duration", "LEASE_TTL_MS", "3000"))
     .action(async (raw: unknown) => {
       const settings = checkSettings(EntrySettings, raw);
@@ -79,7 +98,7 @@
     });
 }
 
-/** `parsleynotch platform`: the platform stand-in (table, objects, weights, host list). */
+/** `parsleynotch platform`: the platform stand-in (table service, object store, weight store, host list). */
 export function platformCommand(): commander.Command {
   const PlatformSettings = Schema.Struct({
     host: Schema.String,
@@ -92,16 +111,16 @@
     .description("Run the platform stand-in: table service, object store, weight store, host list")
     .addOption(option("--host <ip>", "address to bind", "HOST", "127.0.0.1"))
     .addOption(option("--port <n>", "port to bind (0: any)", "PORT", "7000"))
-    .addOption(option("--host-lag-ms <ms>", "how far the host list lags", "HOST_LAG_MS", "2000"))
+    .addOption(option("--host-lag-ms <ms>", "lag of the host list", "HOST_LAG_MS", "2000"))
     .addOption(
       option(
         "--weight-loads-per-second <n>",
-        "weight store loads started per second",
+        "weight store: loads started per second",
         "WEIGHT_LOADS_PER_SECOND",
         "1",
       ),
     )
-    .addOption(option("--weight-concurrent <n>", "weight store loads at once", "WEIGHT_CONCURRENT", "5"))
+    .addOption(option("--weight-concurrent <n>", "weight store: concurrent loads", "WEIGHT_CONCURRENT", "5"))
     .action(async (raw: unknown) => {
       const s = checkSettings(PlatformSettings, raw);
       const server = new PlatformServer({
@@ -137,11 +156,15 @@
     .addOption(option("--host <ip>", "address to bind", "HOST", "127.0.0.1"))
     .addOption(option("--port <n>", "port to bind (0: any)", "PORT", "9000"))
     .addOption(option("--capacity-mb <mb>", "accelerator memory", "CAPACITY_MB", "40000"))
-    .addOption(option("--fencing <policy>", "stale fencing numbers: refuse or ignore", "FENCING", "refuse"))
-    .addOption(option("--platform <url>", "platform URL for weights ('' to skip)", "PLATFORM", ""))
+    .addOption(
+      option("--fencing <policy>", "handling of stale fencing tokens: refuse or ignore", "FENCING", "refuse"),
+    )
+    .addOption(
+      option("--platform <url>", "platform URL from which weights are fetched ('' to skip)", "PLATFORM", ""),
+    )
     .addOption(option("--token-ms <ms>", "time per token", "TOKEN_MS", "5"))
     .addOption(
-      option("--drain-ms <ms>", "on SIGTERM, longest wait for streams in flight", "DRAIN_MS", "10000"),
+      option("--drain-ms <ms>", "maximum wait for streams in flight on SIGTERM", "DRAIN_MS", "10000"),
     )
     .option("--register", "add this engine to the platform stand-in's host list", false)
     .action(async (raw: unknown) => {
@@ -176,7 +199,7 @@
     .addOption(option("--name <name>", "service name", "NAME", "catalog"))
     .addOption(option("--host <ip>", "address to bind", "HOST", "127.0.0.1"))
     .addOption(option("--port <n>", "port to bind (0: any)", "PORT", "9500"))
-    .addOption(option("--call-ms <ms>", "time each call takes", "CALL_MS", "5"))
+    .addOption(option("--call-ms <ms>", "duration of each call", "CALL_MS", "5"))
     .action(async (raw: unknown) => {
       const s = checkSettings(ServiceSettings, raw);
       const server = new ServiceServer(s);
--- a/src/cli/runGateway.ts
+++ b/src/cli/runGateway.ts
@@ -1,10 +1,10 @@
-/** Runs the gateway node of one host until it is told to stop. */
+/** Runs the gateway node of one host until SIGTERM. */
 import { connectPlatform, readSettingsFile } from "../../platform/index.ts";
 import { unwrap } from "../common/decode.ts";
 import { createHostLog } from "../common/hostLog.ts";
 import { GatewayNode } from "../gateway/gatewayNode.ts";
 
-/** Starts the node of the settings file. */
+/** Starts the node with the settings file at `path`. */
 export async function runGateway(path: string): Promise<void> {
   const settings = unwrap(readSettingsFile(path));
   const hostLog = createHostLog("gateway");
--- a/src/cli/sampleTemplates.ts
+++ b/src/cli/sampleTemplates.ts
@@ -1,10 +1,10 @@
-/** The sample templates of the embedded default: one per customer of the brief (Andes, Ovaşeker). */
+/** Sample templates of the embedded system, one per sample customer (Andes, Ovaşeker). */
 import type { Template } from "../common/template.ts";
 
-/** Service servers' base URLs, by service name, filled in when the stand-ins have bound their ports. */
+/** Base URLs of the service stand-ins by service name, known once they have bound their ports. */
 export type ServiceAddresses = Readonly<Record<"catalog" | "weighbridge" | "slips", string>>;
 
-/** Andes: the syllabus assistant and the catalog (reservations must not double). */
+/** Andes: the syllabus assistant and the catalog (a reservation must not be made twice). */
 export function andes(addresses: ServiceAddresses): Template {
   return {
     name: "andes-prestamos",
@@ -35,7 +35,7 @@
   };
 }
 
-/** Ovaşeker: intake assistant, weighbridge and slips (a sugar-content slip prints once). */
+/** Ovaşeker: intake assistant, weighbridge and slips (a sugar-content slip must not be printed twice). */
 export function ovaseker(addresses: ServiceAddresses): Template {
   return {
     name: "ovaseker-intake",
--- a/src/cli/settings.ts
+++ b/src/cli/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of each subcommand: flags and `PARSLEYNOTCH_*` env vars (commander), checked by schema at start. */
+/** Settings of each subcommand: flags and `PARSLEYNOTCH_*` env vars (commander), validated by a schema at startup. */
 import * as Schema from "effect/Schema";
 import * as SchemaGetter from "effect/SchemaGetter";
 import { decodeEither } from "../common/decode.ts";
@@ -27,11 +27,11 @@
 /** A zone or id name. */
 export const NameSetting = Schema.String.check(Schema.isPattern(/^[a-z0-9][a-z0-9._-]{0,62}$/));
 
-/** Checks raw settings against `schema`; throws `bad-settings` naming the setting and what was expected. */
+/** Validates raw settings against `schema`; throws `bad-settings` naming the setting and what was expected. */
 export function checkSettings<A>(schema: Schema.Codec<A, unknown>, raw: unknown): A {
   return decodeEither(schema, raw, "bad-settings")
     .mapLeft(
-      (failure) => new Failure("bad-settings", failure.message.replace("input does not fit", "bad setting")),
+      (failure) => new Failure("bad-settings", failure.message.replace("invalid input", "invalid setting")),
     )
     .caseOf({
       Left: (failure) => {
--- a/src/cli/templateCommand.ts
+++ b/src/cli/templateCommand.ts
@@ -1,4 +1,4 @@
-/** `parsleynotch template create|apply|retire|list`: operators' template commands. */
+/** `parsleynotch template create|apply|retire|list`: template commands for operators. */
 import * as fs from "node:fs/promises";
 import * as commander from "commander";
 import { Failure } from "../common/errors.ts";
@@ -6,7 +6,7 @@
 import { TemplateStore } from "../common/templateStore.ts";
 
 const platformOption = (): commander.Option =>
-  new commander.Option("--platform <url>", "platform (table service) base URL")
+  new commander.Option("--platform <url>", "base URL of the platform (table service)")
     .env("PARSLEYNOTCH_PLATFORM")
     .default("http://127.0.0.1:7000");
 
@@ -15,7 +15,7 @@
   const group = new commander.Command("template").description("Create, change, retire and list templates");
   group
     .command("create")
-    .description("Create a template from a JSON file; fails if one of that name exists")
+    .description("Create a template from a JSON file; fails if a template of that name exists")
     .argument("<file>", "template JSON file")
     .addOption(platformOption())
     .action(async (file: string, opts: { platform: string }) => {
@@ -37,7 +37,7 @@
     });
   group
     .command("retire")
-    .description("Retire a template: its models are unloaded, its customer loses them")
+    .description("Retire a template: its models are unloaded and its customer loses access to them")
     .argument("<name>", "template name")
     .addOption(platformOption())
     .option("--expect-version <n>", "version the retirement is based on")
--- a/src/explain/logLine.ts
+++ b/src/explain/logLine.ts
@@ -1,9 +1,9 @@
-/** Log lines as `explain` reads them. */
+/** Parses log lines for `explain`. */
 import * as Schema from "effect/Schema";
 import { decodeEither } from "../common/decode.ts";
 
-/** The fields that `explain` goes by; a line has more. */
-const Line = Schema.Struct({
+/** The fields that `explain` evaluates; a line has others too. */
+const WireLine = Schema.Struct({
   time: Schema.String,
   event: Schema.String,
   requestId: Schema.optionalKey(Schema.String),
@@ -13,18 +13,18 @@
 
 /** One line of one host's log. */
 export interface LogLine {
-  /** The log it was read from. */
+  /** Name of the log that contains it. */
   readonly source: string;
   readonly atMs: number;
   readonly event: string;
   readonly requestId: string | undefined;
   readonly model: string | undefined;
   readonly tookMs: number | undefined;
-  /** All fields but the time, to print. */
+  /** The fields to print: all except time, level and event. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** The lines of a log; what is no JSON line of ours is passed over and counted. */
+/** Parses the lines of a log; lines that aren't our JSON log lines are skipped and counted. */
 export function readLog(source: string, text: string): { lines: LogLine[]; skipped: number } {
   const lines: LogLine[] = [];
   let skipped = 0;
@@ -38,12 +38,12 @@
 }
 
 function readLine(source: string, row: string): LogLine | undefined {
-  // Collectors put words of their own before a line.
+  // Log collectors may prepend a prefix to a line.
   const start = row.indexOf("{");
   if (start < 0) return undefined;
   const fields = parse(row.slice(start));
   return (
-    decodeEither(Line, fields)
+    decodeEither(WireLine, fields)
       .map((line) => ({
         source,
         atMs: Date.parse(line.time),
@@ -51,7 +51,7 @@
         requestId: line.requestId,
         model: line.model,
         tookMs: line.tookMs,
-        fields: withoutHead(fields as Record<string, unknown>),
+        fields: withoutCommonFields(fields as Record<string, unknown>),
       }))
       .toMaybe()
       .extractNullable() ?? undefined
@@ -62,12 +62,12 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // Not a line of ours; the caller counts it.
+    // Not one of our log lines; the caller counts it.
     return undefined;
   }
 }
 
-function withoutHead(fields: Record<string, unknown>): Record<string, unknown> {
+function withoutCommonFields(fields: Record<string, unknown>): Record<string, unknown> {
   return Object.fromEntries(
     Object.entries(fields).filter(([name]) => !["time", "level", "event"].includes(name)),
   );
--- a/src/explain/requestTimeline.ts
+++ b/src/explain/requestTimeline.ts
@@ -1,70 +1,73 @@
-/** Tells what happened to one request, from the logs of all hosts: its own lines and the beliefs in force. */
+/** Builds the timeline of one request from the logs of all hosts: its own lines and the known state at its arrival. */
 import { Failure } from "../common/errors.ts";
 import type { LogLine } from "./logLine.ts";
 
-/** Changes of belief this long before the request's arrival may still bear on it, ms: the longest load, twice. */
-const beforeMs = 12_000;
-/** Lines this long after its end still belong to it, ms: clocks of hosts differ a little. */
-const afterMs = 500;
+/** Events up to this long before the request's arrival may be relevant to it, ms: twice the longest load. */
+const contextBeforeMs = 12_000;
+/** Events up to this long after its end are included, ms, as the clocks of hosts differ slightly. */
+const contextAfterMs = 500;
 
-/** Beliefs of the host that had the request, of which the last before its arrival was in force. */
-const standing = new Set([
+/** State changes on the request's host: the last of each kind before its arrival was current. */
+const stateEvents = new Set([
   "configuration-applied",
   "store-lost",
   "store-regained",
   "store-era-changed",
   "started",
 ]);
-/** Events about servers and placement that bear on any request near them. */
-const placement = new Set(["lease-taken", "lease-lost", "lease-released"]);
-const servers = new Set(["server-found", "server-leaving", "server-removed"]);
-const life = new Set(["started", "stopping", "stopped"]);
+/** Events of the lease, of servers and of the process that are relevant to any request near them in time. */
+const leaseEvents = new Set(["lease-taken", "lease-lost", "lease-released"]);
+const serverEvents = new Set(["server-found", "server-leaving", "server-removed"]);
+const lifecycleEvents = new Set(["started", "stopping", "stopped"]);
 
-/** The story, a line each, in order of time. */
+/** Returns the lines of the timeline in chronological order. */
 export function requestTimeline(lines: readonly LogLine[], requestId: string): string[] {
   const own = lines.filter((line) => line.requestId === requestId);
   const end = own.find((line) => line.event === "request") ?? own.at(-1);
   if (end === undefined) {
-    throw new Failure("unknown-request", `no line of request ${requestId}; served ones are logged at debug`);
+    throw new Failure(
+      "unknown-request",
+      `no line of request ${requestId}; served requests are logged at debug level`,
+    );
   }
   const arrivedMs = end.atMs - (end.tookMs ?? 0);
-  const told = [
+  const selected = [
     ...own,
-    ...inForce(lines, end.source, arrivedMs),
-    ...lines.filter((line) => bears(line, end, arrivedMs)),
+    ...statesAtArrival(lines, end.source, arrivedMs),
+    ...lines.filter((line) => isRelevant(line, end, arrivedMs)),
   ];
-  const inOrder = [...new Set(told)].sort((a, b) => a.atMs - b.atMs);
-  return inOrder.map((line) => tell(line, arrivedMs));
+  const inOrder = [...new Set(selected)].sort((a, b) => a.atMs - b.atMs);
+  return inOrder.map((line) => formatLine(line, arrivedMs));
 }
 
-/** The newest line of each standing belief before the arrival. */
-function inForce(lines: readonly LogLine[], source: string, arrivedMs: number): LogLine[] {
+/** Returns the newest line of each state event before the arrival. */
+function statesAtArrival(lines: readonly LogLine[], source: string, arrivedMs: number): LogLine[] {
   const newest = new Map<string, LogLine>();
   for (const line of lines) {
-    if (line.source !== source || !standing.has(line.event) || line.atMs > arrivedMs) continue;
-    const known = newest.get(line.event);
-    if (known === undefined || known.atMs <= line.atMs) newest.set(line.event, line);
+    if (line.source !== source || !stateEvents.has(line.event) || line.atMs > arrivedMs) continue;
+    const latest = newest.get(line.event);
+    if (latest === undefined || latest.atMs <= line.atMs) newest.set(line.event, line);
   }
   return [...newest.values()];
 }
 
-function bears(line: LogLine, end: LogLine, arrivedMs: number): boolean {
-  if (line.atMs < arrivedMs - beforeMs || line.atMs > end.atMs + afterMs) return false;
+function isRelevant(line: LogLine, end: LogLine, arrivedMs: number): boolean {
+  if (line.atMs < arrivedMs - contextBeforeMs || line.atMs > end.atMs + contextAfterMs) return false;
   if (line.event === "order") return end.model !== undefined && isAbout(line, end.model);
-  if (placement.has(line.event)) return end.model !== undefined;
-  return line.source === end.source && (servers.has(line.event) || life.has(line.event));
+  if (leaseEvents.has(line.event)) return end.model !== undefined;
+  return line.source === end.source && (serverEvents.has(line.event) || lifecycleEvents.has(line.event));
 }
 
 function isAbout(order: LogLine, model: string): boolean {
   return order.model === model || order.fields.inFavourOf === model;
 }
 
-function tell(line: LogLine, arrivedMs: number): string {
+function formatLine(line: LogLine, arrivedMs: number): string {
   const offset = ((line.atMs - arrivedMs) / 1000).toFixed(3);
-  const fields = Object.entries(line.fields).map(([name, value]) => `${name}=${text(value)}`);
+  const fields = Object.entries(line.fields).map(([name, value]) => `${name}=${formatValue(value)}`);
   return `${offset.startsWith("-") ? offset : `+${offset}`} s  ${line.source}  ${line.event}  ${fields.join(" ")}`;
 }
 
-function text(value: unknown): string {
+function formatValue(value: unknown): string {
   return typeof value === "string" ? value : JSON.stringify(value);
 }
