--- a/src/common/logRateLimiter.ts
+++ b/src/common/logRateLimiter.ts
@@ -46,8 +46,8 @@
   private stateOf(event: string, nowMs: number): EventState {
     const known = this.events.get(event);
     if (known !== undefined) return known;
-    const lines = { bucket: new TokenBucket(this.options.burst), refilledAtMs: nowMs, suppressed: 0 };
-    this.events.set(event, lines);
-    return lines;
+    const state = { bucket: new TokenBucket(this.options.burst), refilledAtMs: nowMs, suppressed: 0 };
+    this.events.set(event, state);
+    return state;
   }
 }
--- a/src/common/loopTask.ts
+++ b/src/common/loopTask.ts
@@ -1,8 +1,8 @@
-/** A task that runs its own loop from its start until it is disposed. */
+/** Base class of tasks that run their own loop. */
 import { Emitter } from "./emitter.ts";
 import type { Task } from "./supervisor.ts";
 
-/** Base class of such tasks; the loop has to end once `stopped` is true. */
+/** A task that runs a loop from its start until it is disposed; the loop has to end once `stopped` is true. */
 export abstract class LoopTask implements Task {
   protected stopped = false;
   private readonly wakeRequested = new Emitter<undefined>();
--- a/src/explain/requestTimeline.ts
+++ b/src/explain/requestTimeline.ts
@@ -36,8 +36,8 @@
     ...statesAtArrival(lines, end.source, arrivedMs),
     ...lines.filter((line) => isRelevant(line, end, arrivedMs)),
   ];
-  const inOrder = [...new Set(selected)].sort((a, b) => a.atMs - b.atMs);
-  return inOrder.map((line) => formatLine(line, arrivedMs));
+  const chronological = [...new Set(selected)].sort((a, b) => a.atMs - b.atMs);
+  return chronological.map((line) => formatLine(line, arrivedMs));
 }
 
 /** Returns the newest line of each state event before the arrival. */
@@ -53,12 +53,12 @@
 
 function isRelevant(line: LogLine, end: LogLine, arrivedMs: number): boolean {
   if (line.atMs < arrivedMs - contextBeforeMs || line.atMs > end.atMs + contextAfterMs) return false;
-  if (line.event === "order") return end.model !== undefined && isAbout(line, end.model);
+  if (line.event === "order") return end.model !== undefined && concernsModel(line, end.model);
   if (leaseEvents.has(line.event)) return end.model !== undefined;
   return line.source === end.source && (serverEvents.has(line.event) || lifecycleEvents.has(line.event));
 }
 
-function isAbout(order: LogLine, model: string): boolean {
+function concernsModel(order: LogLine, model: string): boolean {
   return order.model === model || order.fields.inFavourOf === model;
 }
 
