--- a/src/serving/placementView.ts
+++ b/src/serving/placementView.ts
@@ -1,22 +1,22 @@
-/** What placement decides from, and what it decides. */
+/** Input and output of placement planning. */
 import type { Model } from "./configuration.ts";
 
-/** An engine as placement sees it. */
+/** State of one engine for planning. */
 export interface EngineView {
   readonly id: string;
-  /** Models in memory that are to stay. */
+  /** Models in memory that are not being unloaded. */
   readonly models: ReadonlySet<string>;
-  /** Models ordered whose load is not confirmed. */
+  /** Models whose load was ordered and is not confirmed yet. */
   readonly pendingLoads: ReadonlySet<string>;
-  /** The model for which another was unloaded here. */
+  /** The model for which another one was unloaded here. */
   readonly reservedFor: string | undefined;
   /** Requests in flight by model. */
   readonly running: ReadonlyMap<string, number>;
-  /** Models that came or went so lately that the engine's registration may not show it. */
+  /** Models loaded or unloaded so recently that the engine's registration may not show it yet. */
   readonly recentlyChanged: ReadonlySet<string>;
-  /** Memory left if every load under way succeeds and no unload has, MB. */
+  /** Memory left if every load in progress succeeds and every unload in progress fails, MB. */
   readonly freeMb: number;
-  /** An order is under way, so that no other is taken. */
+  /** An order is in progress, so no other one is taken. */
   readonly busy: boolean;
   /** Models it can load without the weight store. */
   readonly cachedModels: ReadonlySet<string>;
@@ -24,44 +24,44 @@
 
 /** Demand for one model. */
 export interface ModelDemand {
-  /** Engine time asked for per second, ms. */
+  /** Requested engine time per second, ms. */
   readonly engineMs: number;
-  /** Requests that wait for the model with no engine to go to. */
+  /** Requests that wait for the model as no engine holds it. */
   readonly waiting: number;
-  /** Since the model was last asked for, ms. */
+  /** Time since the last request for the model, ms. */
   readonly idleMs: number;
-  /** Different adapters of it asked for lately. */
+  /** Number of different adapters of it that were requested recently. */
   readonly adapters: number;
 }
 
-/** What the plan is made from. */
+/** Input of the planner. */
 export interface PlacementView {
   readonly models: readonly Model[];
   readonly engines: readonly EngineView[];
   readonly demand: ReadonlyMap<string, ModelDemand>;
-  /** Places for adapters of one engine. */
+  /** Adapter slots per engine. */
   readonly adapterSlots: number;
-  /** Demand is known well enough to let models make way for others. */
+  /** Whether demand is known well enough to evict models. */
   readonly mayEvict: boolean;
-  /** Loads that may still begin from the weight store now. */
+  /** Loads from the weight store that may still start now. */
   readonly loadsLeft: number;
 }
 
-/** One order to give. */
+/** One order to send. */
 export interface Move {
   readonly engineId: string;
   readonly action: "load" | "unload";
   readonly model: string;
-  /** Why the model is wanted, or why another one that takes its place is. */
+  /** Why the model is wanted, or for an unload the model that replaces it. */
   readonly reason: "waiting" | "demand" | "reachable";
-  /** The model that is to take the place of an unloaded one. */
+  /** The model that replaces an unloaded one. */
   readonly inFavourOf?: string | undefined;
-  /** Engine time asked of the model per second, ms, and its copies before the move. */
+  /** Requested engine time for the model per second, ms, and its replicas before the move. */
   readonly demandMs: number;
   readonly copies: number;
 }
 
-/** Models that the engine holds, is being given, or keeps room for. */
+/** Models that the engine holds, is loading, or has memory reserved for. */
 export function heldBy(engine: EngineView): Set<string> {
   const held = new Set([...engine.models, ...engine.pendingLoads]);
   if (engine.reservedFor !== undefined) held.add(engine.reservedFor);
