--- a/src/serving/adapterPlan.ts
+++ b/src/serving/adapterPlan.ts
@@ -1,43 +1,43 @@
 /**
- * Chooses the engine that takes an adapter, and the adapter that makes way. Answers callers who ask for
- * many adapters of one model while an engine has few places: each adapter lives on few engines, and the
- * one longest unused goes first.
+ * Selects the engine that loads an adapter, and the adapter to evict for it. Handles callers that ask for
+ * many adapters of one model while an engine has few slots: each adapter lives on few engines, and the least
+ * recently used one is evicted first.
  */
 
-/** An engine that holds the model an adapter is wanted for. */
+/** An engine that holds the adapter's model. */
 export interface AdapterEngine {
   readonly id: string;
-  /** Adapters there or on their way, as MODEL/NAME, all models together. */
+  /** Adapters loaded or being loaded, as MODEL/NAME, for all models together. */
   readonly adapters: readonly string[];
-  /** Those of them that may be told to make way. */
+  /** Those of them that may be evicted. */
   readonly evictable: readonly string[];
-  /** Prompt tokens and requests in flight, as expected ms to a first token. */
+  /** Expected time to first token, ms, from the prompt tokens and requests in flight. */
   readonly expectedMs: number;
   readonly busy: boolean;
 }
 
-/** What to do: load at `engineId`, after `evict` has made way. */
+/** A planned load at `engineId`, after `evict` was evicted. */
 export interface AdapterMove {
   readonly engineId: string;
   readonly evict: string | undefined;
 }
 
-/** What decides. */
+/** Input of the planner. */
 export interface AdapterView {
   readonly engines: readonly AdapterEngine[];
-  /** Places for adapters of one engine. */
+  /** Adapter slots per engine. */
   readonly slots: number;
-  /** When an adapter was last asked for, ms; never: undefined. */
+  /** Time of the last request for an adapter, ms; undefined if never. */
   readonly lastUsedMs: (adapter: string) => number | undefined;
   readonly nowMs: number;
 }
 
-/** An adapter used within this time is probably still at work, so it doesn't make way for another, ms. */
+/** An adapter used within this time is probably still in use, so it is not evicted, ms. */
 const inUseMs = 1_500;
-/** Taking the place of another adapter means loading that one again later, ms of expected wait. */
-const evictionMs = 40;
+/** Cost of evicting an adapter, which has to be loaded again later, as ms of expected wait. */
+const evictionCostMs = 40;
 
-/** The best engine for one more adapter; undefined if every place is in use. */
+/** The best engine for another adapter; undefined if every slot is in use. */
 export function planAdapter(view: AdapterView): AdapterMove | undefined {
   let chosen: { move: AdapterMove; cost: number } | undefined;
   for (const engine of view.engines) {
@@ -50,16 +50,16 @@
 
 function optionAt(view: AdapterView, engine: AdapterEngine): { move: AdapterMove; cost: number } | undefined {
   if (engine.adapters.length < view.slots) {
-    // The emptier engine first, so that a model's adapters spread over its copies.
+    // Prefer the engine with fewer adapters, so that a model's adapters spread over its replicas.
     const cost = engine.expectedMs + engine.adapters.length;
     return { move: { engineId: engine.id, evict: undefined }, cost };
   }
-  const victim = longestUnused(view, engine.evictable);
+  const victim = leastRecentlyUsed(view, engine.evictable);
   if (victim === undefined) return undefined;
-  return { move: { engineId: engine.id, evict: victim }, cost: engine.expectedMs + evictionMs };
+  return { move: { engineId: engine.id, evict: victim }, cost: engine.expectedMs + evictionCostMs };
 }
 
-function longestUnused(view: AdapterView, adapters: readonly string[]): string | undefined {
+function leastRecentlyUsed(view: AdapterView, adapters: readonly string[]): string | undefined {
   let victim: string | undefined;
   let oldest = view.nowMs - inUseMs;
   for (const adapter of adapters) {
--- a/src/serving/backendServer.ts
+++ b/src/serving/backendServer.ts
@@ -1,7 +1,7 @@
-/** A backend server as its own registration describes it. */
+/** A backend server as described by its own registration. */
 import * as Schema from "effect/Schema";
 
-/** A model in an engine's memory, with the adapters loaded beside it. */
+/** A model in an engine's memory, with the adapters loaded for it. */
 export const Resident = Schema.Struct({
   model: Schema.String,
   version: Schema.Number,
@@ -10,30 +10,33 @@
 /** A decoded resident model. */
 export type Resident = typeof Resident.Type;
 
-/** One incarnation of a backend server: a restart makes a new `id`, or keeps the `id` with a later start. */
+/** One incarnation of a backend server: a restart gets a new `id`, or keeps the `id` with a later start time. */
 export const BackendServer = Schema.Struct({
   id: Schema.String,
-  /** When its process started, Unix ms; absent where servers don't say. */
+  /** Start time of its process, Unix ms; absent for servers that don't report it. */
   startedAtMs: Schema.optionalKey(Schema.Number),
   service: Schema.String,
   /** IP:PORT. */
   address: Schema.String,
   zone: Schema.String,
-  /** Requests it runs at once. */
+  /** Maximum concurrent requests. */
   slots: Schema.Number,
   leaving: Schema.Boolean,
-  /** Time until it is gone, where it was given notice, ms. */
+  /** Time until the server terminates, if it was given notice, ms. */
   goneInMs: Schema.optionalKey(Schema.Number),
   residents: Schema.Array(Resident),
-  /** Models whose weights lie in its host memory or on its disk: a load of these needs no weight store. */
+  /**
+   * Models whose weights are cached in its host memory or on its disk: they are loaded without the weight
+   * store.
+   */
   atHand: Schema.Array(Schema.String),
-  /** Does it take model orders? */
+  /** Whether it takes model orders. */
   engine: Schema.Boolean,
 });
 /** A decoded backend server. */
 export type BackendServer = typeof BackendServer.Type;
 
-/** Is the first a later incarnation than the second, of servers with one id? */
+/** Is the first one a later incarnation than the second, for servers with the same id? */
 export function startedAfter(
   later: Pick<BackendServer, "startedAtMs">,
   earlier: Pick<BackendServer, "startedAtMs">,
@@ -41,7 +44,7 @@
   return (later.startedAtMs ?? 0) > (earlier.startedAtMs ?? 0);
 }
 
-/** Names the incarnation: a server that starts again under its id is another one. */
+/** Identifies the incarnation: a restarted server with the same id is a different one. */
 export function incarnationOf({ id, startedAtMs }: Pick<BackendServer, "id" | "startedAtMs">): string {
   return startedAtMs === undefined ? id : `${id}@${startedAtMs}`;
 }
--- a/src/serving/demandMeter.ts
+++ b/src/serving/demandMeter.ts
@@ -1,49 +1,49 @@
 /**
- * Demand for models: engine time asked for per second, as a fast and a slow moving average. The fast one answers
- * demand that jumps to another model within seconds; the slow one keeps copies from being moved at every lull, as far
- * as so few requests are expected that a lull says little.
+ * Measures demand for models: requested engine time per second, as a fast and a slow moving average. The fast
+ * one follows demand that moves to another model within seconds. The slow one keeps replicas from being moved
+ * at every lull, to the extent that requests are too few for a lull to be significant.
  */
 
 /** Time constants of the averages, ms. */
 const fastMs = 2_500;
 const slowMs = 8_000;
-/** Requests expected within the fast average at which a lull is believed as far as not. */
-const tellingRequests = 8;
+/** Expected requests per `fastMs` at which a lull counts as half significant. */
+const significantRequests = 8;
 /**
- * How far a change is taken to go on, as a part of the distance between an average and the next longer one: demand
- * moves from one model to another over some seconds, and a load takes one and more.
+ * How far a change is extrapolated, as a part of the difference between an average and the next longer one:
+ * demand moves between models over several seconds, and a load takes a second or more.
  */
-const riseAhead = 0.6;
-const fallAhead = 0.3;
-/** Part of the slow average that demand is taken not to fall below, where few requests are expected. */
-const lullPart = 0.6;
-/** Below this the demand counts as none: one short request in the slow window, engine ms per s. */
+const riseExtrapolation = 0.6;
+const fallExtrapolation = 0.3;
+/** Lower limit of the estimate as a part of the slow average, where few requests are expected. */
+const lullFloorRatio = 0.6;
+/** Demand below this counts as none, engine ms per s: one short request within `slowMs`. */
 export const negligibleDemand = 2;
 
 interface Average {
   fast: number;
   slow: number;
-  /** Requests per second, by the slow average. */
+  /** Requests per second, from the slow average. */
   requests: number;
   atMs: number;
 }
 
 /** Options of a `DemandMeter`. */
 export interface DemandMeterOptions {
-  /** Nodes that see a part of the demand each, this one included: what they measure is added up. */
+  /** Number of nodes that see a part of the demand each, including this one; their measurements are added up. */
   readonly nodeCount?: () => number;
 }
 
 /** Moving averages of work per key. */
 export class DemandMeter {
   private readonly averages = new Map<string, Average>();
-  private readonly nodes: () => number;
+  private readonly nodeCount: () => number;
 
-  constructor({ nodeCount: nodes = () => 1 }: DemandMeterOptions = {}) {
-    this.nodes = nodes;
+  constructor({ nodeCount = () => 1 }: DemandMeterOptions = {}) {
+    this.nodeCount = nodeCount;
   }
 
-  /** Work of `engineMs` was asked for. */
+  /** Records a request for `engineMs` of work. */
   add(key: string, engineMs: number, nowMs: number): void {
     const average = this.decayed(key, nowMs);
     average.fast += (engineMs * 1000) / fastMs;
@@ -51,16 +51,16 @@
     average.requests += 1000 / slowMs;
   }
 
-  /** Engine time asked for per second, ms, as expected for the next seconds. */
+  /** Requested engine time per second, ms, extrapolated to the next seconds. */
   level(key: string, nowMs: number): number {
     if (!this.averages.has(key)) return 0;
     const { fast, slow, requests } = this.decayed(key, nowMs);
-    const expected = (requests * this.nodes() * fastMs) / 1000;
-    const doubt = tellingRequests / (tellingRequests + expected);
-    return Math.max(0, goingOn(fast, slow), lullPart * doubt * slow);
+    const expected = (requests * this.nodeCount() * fastMs) / 1000;
+    const lullDoubt = significantRequests / (significantRequests + expected);
+    return Math.max(0, extrapolated(fast, slow), lullFloorRatio * lullDoubt * slow);
   }
 
-  /** Levels of all keys asked for lately; the rest is dropped. */
+  /** Levels of all keys with recent demand; the others are dropped. */
   levels(nowMs: number): Record<string, number> {
     const levels: Record<string, number> = {};
     for (const [key, { slow }] of [...this.averages]) {
@@ -83,8 +83,8 @@
   }
 }
 
-/** Where an average is going, by the next longer one that lags behind it. */
-function goingOn(average: number, longer: number): number {
+/** Extrapolates an average by its difference from the next longer one, which lags behind it. */
+function extrapolated(average: number, longer: number): number {
   const change = average - longer;
-  return average + (change > 0 ? riseAhead : fallAhead) * change;
+  return average + (change > 0 ? riseExtrapolation : fallExtrapolation) * change;
 }
--- a/src/serving/engineSpeed.ts
+++ b/src/serving/engineSpeed.ts
@@ -1,27 +1,31 @@
 /**
- * How fast engines decode, learned from the streams they give, and how much of an engine a request takes. Answers load
- * of long answers as well as of long prompts: counted by prompts alone, an engine whose every slot decodes looks half
- * idle. Engines of another make decode several times faster or slower, so nothing here stays at its first value.
+ * Estimates the decoding speed of engines from observed streams, and how much engine time a request takes.
+ * Covers long outputs as well as long prompts: judged by prompts alone, an engine that decodes in every slot
+ * looks half idle. Other engine types decode several times faster or slower, so all initial values here
+ * adapt.
  */
 
-/** Prompt tokens an engine reads per ms at pace 1; faster and slower ones show in the pace of their models. */
+/**
+ * Prompt tokens that an engine prefills per ms at prefill factor 1; faster and slower engines show in the
+ * factors of their models.
+ */
 export const prefillTokensPerMs = 38.7;
-/** One decoding step, in which every running request gets a token, ms, before any stream was seen. */
+/** Initial duration of one decoding step, which gives every running request a token, ms. */
 const initialStepMs = 5.3;
-/** Time for which a request keeps its slot, ms, before any stream was seen. */
-const initialHoldMs = 1_500;
+/** Initial time for which a request occupies its slot, ms. */
+const initialSlotTimeMs = 1_500;
 /**
- * Steps towards a shorter and towards a longer observation: what else an engine does only makes its steps longer, so
- * a step is what the fastest tenth of the streams show.
+ * Weights of a shorter and of a longer observation: other work of the engine only makes steps longer, so the
+ * estimate follows the fastest tenth of the streams.
  */
-const fasterStep = 0.3;
-const slowerStep = 0.03;
-/** Weight of the newest stream in the mean time for which requests keep their slots. */
-const newestHold = 0.05;
-/** Streams of fewer events say little of the pauses between them. */
-const leastEvents = 4;
+const fasterWeight = 0.3;
+const slowerWeight = 0.03;
+/** Weight of the newest stream in the mean slot time. */
+const slotTimeWeight = 0.05;
+/** Minimum number of events for a stream to measure the intervals between them. */
+const minEvents = 4;
 
-/** A stream as it came. */
+/** Timing of one completed stream. */
 export interface StreamTiming {
   /** From the send to the last event, ms. */
   readonly totalMs: number;
@@ -30,44 +34,45 @@
   readonly events: number;
 }
 
-/** What one node has learned of the decoding of engines. */
+/** Decoding speed of engines as observed by one node. */
 export class EngineSpeed {
-  private step = initialStepMs;
-  private hold = initialHoldMs;
+  private decodeStepMs = initialStepMs;
+  private slotTimeMs = initialSlotTimeMs;
 
-  /** A stream was given whole; an event holds `tokensPerEvent` tokens. */
-  observe({ totalMs: wholeMs, eventsMs, events }: StreamTiming, tokensPerEvent: number): void {
-    this.hold += (wholeMs - this.hold) * newestHold;
-    if (events < leastEvents) return;
+  /** Applies the timing of a complete stream; an event holds `tokensPerEvent` tokens. */
+  observe({ totalMs, eventsMs, events }: StreamTiming, tokensPerEvent: number): void {
+    this.slotTimeMs += (totalMs - this.slotTimeMs) * slotTimeWeight;
+    if (events < minEvents) return;
     const stepMs = eventsMs / (events - 1) / Math.max(1, tokensPerEvent);
-    this.step += (stepMs - this.step) * (stepMs < this.step ? fasterStep : slowerStep);
+    this.decodeStepMs +=
+      (stepMs - this.decodeStepMs) * (stepMs < this.decodeStepMs ? fasterWeight : slowerWeight);
   }
 
-  /** One decoding step of an engine that does nothing else, ms. */
+  /** Duration of one decoding step on an engine that does nothing else, ms. */
   get stepMs(): number {
-    return this.step;
+    return this.decodeStepMs;
   }
 
-  /** Until a request gets a slot of an engine that has `requests`, ms. */
+  /** Expected wait for a slot of an engine with `requests` in flight, ms. */
   slotWaitMs(requests: number, slots: number): number {
-    return (Math.max(0, requests + 1 - slots) * this.hold) / Math.max(1, slots);
+    return (Math.max(0, requests + 1 - slots) * this.slotTimeMs) / Math.max(1, slots);
   }
 }
 
-/** What decides how much work a request is. */
+/** Inputs of the work estimate for a request. */
 export interface RequestSize {
-  /** Tokens of the prompt that no other request shares. */
+  /** Prompt tokens that are not shared with other requests. */
   readonly ownTokens: number;
   readonly outputTokens: number;
-  /** Pace at which its model reads. */
+  /** Prefill factor of its model. */
   readonly prefillFactor: number;
 }
 
 /**
- * Engine time that a request takes, ms: the reading of its prompt, during which nothing else is done, and its share
- * of the decoding steps, which serve all slots at once. An engine that is asked for all of its time has no slot left.
+ * Engine time of a request, ms: its prefill, which excludes all other work, and its share of the decoding
+ * steps, which serve all slots at once. An engine whose full time is requested has no free slot left.
  */
 export function engineWorkMs(size: RequestSize, stepMs: number, slots: number): number {
-  const readingMs = (size.ownTokens / prefillTokensPerMs) * size.prefillFactor;
-  return readingMs + (size.outputTokens * stepMs) / Math.max(1, slots);
+  const prefillMs = (size.ownTokens / prefillTokensPerMs) * size.prefillFactor;
+  return prefillMs + (size.outputTokens * stepMs) / Math.max(1, slots);
 }
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -1,83 +1,86 @@
 /**
- * What a gateway node believes about the backend servers: their registrations, corrected by orders that
- * are newer than the registration, and by what was learned while the store was away.
+ * The backend servers as this gateway node knows them: their registrations, corrected by orders that are
+ * newer than the registration and by what was observed while the store was unreachable.
  */
 import { holds, startedAfter, type BackendServer, type Resident } from "./backendServer.ts";
 import { ServerNotices } from "./serverNotices.ts";
 import { initialPosition, isAfter, type StorePosition } from "./storePosition.ts";
 
 /**
- * After the store was out of reach, registrations that lapsed meanwhile are back within two seconds if
- * their server lives. Taking them out at once would leave no server at all; 2.2 s adds one poll.
+ * After a store outage, live servers renew registrations that expired meanwhile within two seconds. Dropping
+ * expired ones at once would leave no servers; 2.2 s adds one poll.
  */
-const lapsedGraceMs = 2_200;
+const expiryGraceMs = 2_200;
 
 /**
- * A server that is known to be gone isn't believed to be back for this long, ms, because a copy of the store names it: the
- * store drops the entry of a server that is silent for three heartbeats.
+ * A removed server is not taken for registered again for this long, ms, on account of a backup of the store
+ * that still names it: the store drops the entry of a server after three missed heartbeats.
  */
-const goneHoldsMs = 6_000;
+const removalHoldMs = 6_000;
 
 /**
- * How long a change by an order goes before what registrations say, ms: one may be a heartbeat of 1.2 s and
- * a read of 0.65 s old, and was made from a state some hundred ms old.
+ * How long a change by an order takes precedence over registrations, ms: a registration may be as old as a
+ * heartbeat (1.2 s) plus a read (0.65 s), and describes a state that was some hundred ms old.
  */
-const changeHoldsMs = 2_300;
+const changePrecedenceMs = 2_300;
 
-/** An unload that waits for running requests takes at most this much longer, ms: the longest time-out of a route. */
-const slowUnloadMs = 15_000;
+/** Additional time for an unload that waits for running requests, ms: the longest time-out of a route. */
+const maxUnloadMs = 15_000;
 
 /** A change of one engine's memory by an order, known before its next registration. */
 export interface ResidencyChange {
   readonly serverId: string;
-  /** The incarnation that took the order. */
+  /** The incarnation that accepted the order. */
   readonly startedAtMs?: number | undefined;
   readonly model: string;
   readonly adapter?: string | undefined;
   readonly present: boolean;
 }
 
-/** A registration as read. */
+/** A registration as read from the store. */
 export interface Registration {
   readonly server: BackendServer;
-  /** Of the store's row. */
+  /** Position of the store's row. */
   readonly position: StorePosition;
 }
 
-/** Servers remembered as gone: ids aren't used again, and nodes that missed a removal learn of it in seconds. */
-const mostGone = 1_000;
+/**
+ * Limit of remembered removals: ids are not reused, and nodes that missed a removal learn of it within
+ * seconds.
+ */
+const maxRemovals = 1_000;
 
 /**
- * Which changes a peer wants to hear. `presence` leaves out those of models and adapters, which are most: a node that
- * stands by gets hardly any requests, and engines tell of models that they don't hold.
+ * The changes a peer asks for. `presence` leaves out changes of models and adapters, which are most of them:
+ * a standby node gets hardly any requests, and an engine refuses requests for models that it doesn't hold.
  */
 export type ChangeScope = "all" | "presence";
 
-/** What changed at the servers after a revision. */
+/** Changes of the servers after a revision. */
 export interface FleetChanges {
-  /** The revision as of now; of this node alone. */
+  /** The current revision; valid on this node only. */
   readonly revision: number;
-  /** All servers are named, so that one that isn't is gone. */
+  /** The registrations are a full listing: a server that is not named is gone. */
   readonly complete: boolean;
   readonly registrations: readonly Registration[];
-  /** Servers that are gone, each with the store's position that says so. */
+  /** Removed servers, each with the store's position of the removal. */
   readonly gone: readonly { readonly id: string; readonly asOf: StorePosition }[];
 }
 
 interface Entry {
-  /** As registered, and with the changes since. */
+  /** As registered, and with newer changes applied. */
   registered: BackendServer;
   server: BackendServer;
   position: StorePosition;
-  /** The revision at which it last changed, by scope. */
+  /** The revision of the last change, by scope. */
   readonly changedAt: Record<ChangeScope, number>;
   /** The newest change of each model and adapter. */
   readonly changes: Map<string, { change: ResidencyChange; untilMs: number }>;
 }
 
-/** The era of the store as this node came to know it. */
-interface Era {
-  /** The first position known of it: what lies before may be from the copy. */
+/** The current era of the store as this node knows it. */
+interface KnownEra {
+  /** The first known position of the era: anything older may come from the backup. */
   readonly start: StorePosition;
   readonly sinceMs: number;
 }
@@ -85,93 +88,98 @@
 /** The backend servers known to this node. */
 export class Fleet {
   private readonly entries = new Map<string, Entry>();
-  /** Removed while the store was away, when they count as gone, ms, and the store's position that says so. */
-  private readonly lapsed = new Map<string, { untilMs: number; asOf: StorePosition }>();
-  /** Servers that are gone, the store's position that says so, and the revision at which they went. */
-  private readonly gone = new Map<string, { asOf: StorePosition; revision: number }>();
-  /** Registrations that may be from before what is known, and until when, ms. */
-  private readonly doubtful = new Map<string, { registration: Registration; untilMs: number }>();
-  private era: Era = { start: initialPosition, sinceMs: Number.NEGATIVE_INFINITY };
-  /** The newest revision at which a server went that isn't remembered any more. */
-  private forgottenRevision = 0;
-  private graceUntil = 0;
-  private revisionCount = 0;
-  private presenceCount = 0;
-  /** What `available` gives, by service; emptied with each change. */
-  private readonly availableNow = new Map<string, readonly BackendServer[]>();
+  /**
+   * Removed while the store was unreachable: when they count as gone, ms, and the store's position of the
+   * removal.
+   */
+  private readonly expiring = new Map<string, { untilMs: number; asOf: StorePosition }>();
+  /** Removed servers: the store's position of the removal, and the revision at which it was applied. */
+  private readonly removals = new Map<string, { asOf: StorePosition; revision: number }>();
+  /** Registrations that may be older than the known state, and how long they are held back, ms. */
+  private readonly heldBack = new Map<string, { registration: Registration; untilMs: number }>();
+  private era: KnownEra = { start: initialPosition, sinceMs: Number.NEGATIVE_INFINITY };
+  /** The newest revision of a removal that is no longer remembered. */
+  private droppedRevision = 0;
+  private graceUntilMs = 0;
+  private currentRevision = 0;
+  private currentPresenceRevision = 0;
+  /** Cached results of `available` by service; cleared on each change. */
+  private readonly availableByService = new Map<string, readonly BackendServer[]>();
 
   constructor(private readonly notices = new ServerNotices()) {
     notices.changed.on(() => {
-      this.availableNow.clear();
+      this.availableByService.clear();
     });
   }
 
-  /** Grows with each change that peers want to hear. */
+  /** Grows with each change that peers are sent. */
   get revision(): number {
-    return this.revisionCount;
+    return this.currentRevision;
   }
 
-  /** The revision of the newest change of which servers there are. */
+  /** The revision of the newest change in the presence of servers. */
   get presenceRevision(): number {
-    return this.presenceCount;
+    return this.currentPresenceRevision;
   }
 
-  /** The first position known of the store's era. */
+  /** The first known position of the store's era. */
   get eraStart(): StorePosition {
     return this.era.start;
   }
 
   /**
-   * The store came back from a copy, known here since `sinceMs`; `start` is the first position known of its era. Servers that
-   * it lacks are written again within seconds if they live, as after an outage.
+   * The store was restored from a backup, which this node knows since `sinceMs`; `start` is the first known
+   * position of the new era. Live servers that the backup lacks register again within seconds, as after an
+   * outage.
    */
   enterEra(start: StorePosition, sinceMs: number): boolean {
     if (start.era <= this.era.start.era) return false;
     this.era = { start, sinceMs };
-    this.doubtful.clear();
+    this.heldBack.clear();
     this.storeRecovered(sinceMs);
     return true;
   }
 
-  /** Takes a registration; true if it says anything new beside being newer. */
+  /** Applies a registration; true if it differs from the known one in more than its position. */
   applyRegistration(registration: Registration, nowMs: number): boolean {
     const { server, position } = registration;
-    const gone = this.gone.get(server.id);
-    // Guards "a server that left is sent requests again": a node that the store turned away still has the
-    // registration and tells it to its peers. One that came back has a newer position than its removal.
-    if (gone !== undefined && !isAfter(position, gone.asOf)) return false;
+    const removal = this.removals.get(server.id);
+    // Prevents requests to a removed server: a node that the store refused still has the registration and
+    // sends it to its peers. A server that came back has a newer position than its removal.
+    if (removal !== undefined && !isAfter(position, removal.asOf)) return false;
     const entry = this.entries.get(server.id);
-    // Guards "requests go to an engine that restarted empty": its last word from before the restart may be written
-    // after the first from after it, so the start decides between them and not the order of arrival.
+    // Prevents requests to an engine that restarted empty: its last registration from before the restart may
+    // be written after the first one from after it, so start times decide rather than the order of arrival.
     if (entry !== undefined && startedAfter(entry.registered, server)) return false;
-    // Registrations may come out of order: an older one must not bring back a server that is leaving.
+    // Registrations may arrive out of order: an older one must not make a server available again that is
+    // shutting down.
     if (entry !== undefined && !startedAfter(server, entry.registered) && !isAfter(position, entry.position))
       return false;
-    this.lapsed.delete(server.id);
-    const trustedFromMs = this.trustedFromMs(registration);
-    if (nowMs < trustedFromMs) {
-      if (server.leaving && entry !== undefined) return this.noteLeaving(entry, registration, nowMs);
-      this.doubtful.set(server.id, { registration, untilMs: trustedFromMs });
+    this.expiring.delete(server.id);
+    const acceptedFromMs = this.acceptedFromMs(registration);
+    if (nowMs < acceptedFromMs) {
+      if (server.leaving && entry !== undefined) return this.markLeaving(entry, registration, nowMs);
+      this.heldBack.set(server.id, { registration, untilMs: acceptedFromMs });
       return false;
     }
-    this.gone.delete(server.id);
-    this.doubtful.delete(server.id);
+    this.removals.delete(server.id);
+    this.heldBack.delete(server.id);
     if (entry === undefined || startedAfter(server, entry.registered)) {
       const revision = this.nextRevision("presence");
       const changedAt = { all: revision, presence: revision };
       this.entries.set(server.id, { registered: server, server, position, changedAt, changes: new Map() });
-      this.availableNow.clear();
+      this.availableByService.clear();
       return true;
     }
     entry.position = position;
     return this.replace(entry, { ...server, leaving: server.leaving || entry.registered.leaving }, nowMs);
   }
 
-  /** Servers known here that are not among all registrations as of the store's position `asOf`. */
+  /** Known servers that are not in a full listing as of the store's position `asOf`. */
   idsMissingFrom(registrations: readonly Registration[], asOf: StorePosition): string[] {
     const seen = new Set(registrations.map((registration) => registration.server.id));
     const known = [...this.entries].filter(([, entry]) => !isAfter(entry.position, asOf)).map(([id]) => id);
-    return [...new Set([...known, ...this.doubtful.keys()])].filter((id) => !seen.has(id));
+    return [...new Set([...known, ...this.heldBack.keys()])].filter((id) => !seen.has(id));
   }
 
   /** Every registration. */
@@ -180,138 +188,144 @@
   }
 
   /**
-   * What changed after `revision`, to tell a peer. Told whole each time, 90 servers of 1 KB went to every node twice a
-   * second, 35 MB/s over 195 nodes.
+   * Changes after `revision`, to send to a peer. Sending full listings took 35 MB/s over 195 nodes: 90
+   * servers of 1 KB to every node twice a second.
    */
   changesAfter(revision: number, scope: ChangeScope): FleetChanges {
-    const complete = revision === 0 || revision < this.forgottenRevision || revision > this.revisionCount;
+    const complete = revision === 0 || revision < this.droppedRevision || revision > this.currentRevision;
     const changed = [...this.entries.values()].filter((entry) => entry.changedAt[scope] > revision);
-    const gone = [...this.gone].filter(([, { revision: wentAt }]) => wentAt > revision);
+    const removed = [...this.removals].filter(([, { revision: removedAt }]) => removedAt > revision);
     return {
-      revision: this.revisionCount,
+      revision: this.currentRevision,
       complete,
       registrations: complete ? this.registrations() : changed.map(registrationOf),
-      gone: complete ? [] : gone.map(([id, { asOf }]) => ({ id, asOf })),
+      gone: complete ? [] : removed.map(([id, { asOf }]) => ({ id, asOf })),
     };
   }
 
-  /** A registration was removed, as of the store's position `asOf`; true if it is gone at once. */
+  /** A registration was removed, as of the store's position `asOf`; true if it is dropped at once. */
   remove(id: string, asOf: StorePosition, nowMs: number): boolean {
-    const doubt = this.doubtful.get(id);
-    if (doubt !== undefined && !isAfter(doubt.registration.position, asOf)) this.doubtful.delete(id);
+    const held = this.heldBack.get(id);
+    if (held !== undefined && !isAfter(held.registration.position, asOf)) this.heldBack.delete(id);
     const entry = this.entries.get(id);
-    // A peer that lags behind may tell of a removal though the server is registered again.
+    // A peer that lags behind may report a removal although the server is registered again.
     if (entry === undefined || isAfter(entry.position, asOf)) return false;
-    if (nowMs < this.graceUntil) {
-      this.lapsed.set(id, { untilMs: this.graceUntil, asOf });
+    if (nowMs < this.graceUntilMs) {
+      this.expiring.set(id, { untilMs: this.graceUntilMs, asOf });
       return false;
     }
     return this.drop(id, asOf);
   }
 
-  /** The store is back after it was out of reach: removals are not final for a while. */
+  /** The store is reachable again after an outage: removals take effect only after a grace period. */
   storeRecovered(nowMs: number): void {
-    this.graceUntil = Math.max(this.graceUntil, nowMs + lapsedGraceMs);
+    this.graceUntilMs = Math.max(this.graceUntilMs, nowMs + expiryGraceMs);
   }
 
-  /** Drops lapsed registrations whose grace is over, and takes doubtful ones that stand; true if anything changed. */
+  /**
+   * Drops expired registrations after their grace period, and applies held-back ones that are still valid;
+   * true if anything changed.
+   */
   expire(nowMs: number): boolean {
     let changed = false;
-    for (const [id, { untilMs, asOf }] of this.lapsed) {
+    for (const [id, { untilMs, asOf }] of this.expiring) {
       if (nowMs < untilMs) continue;
-      this.lapsed.delete(id);
+      this.expiring.delete(id);
       if (this.drop(id, asOf)) changed = true;
     }
-    for (const [id, { registration, untilMs }] of this.doubtful) {
+    for (const [id, { registration, untilMs }] of this.heldBack) {
       if (nowMs < untilMs) continue;
-      this.doubtful.delete(id);
+      this.heldBack.delete(id);
       if (this.applyRegistration(registration, nowMs)) changed = true;
     }
     return changed;
   }
 
   /**
-   * Until when a registration is not believed over what is known, ms. Guards "a server that left is sent requests again
-   * as the store came back from a copy": the copy shows it as it was.
+   * The time from which a registration takes precedence over the known state, ms. Prevents requests to a
+   * removed server after the store was restored from a backup, which still lists it.
    */
-  private trustedFromMs({ server, position }: Registration): number {
+  private acceptedFromMs({ server, position }: Registration): number {
     const { start, sinceMs } = this.era;
     const entry = this.entries.get(server.id);
     if (position.era !== start.era || isAfter(position, start)) return Number.NEGATIVE_INFINITY;
     if (entry !== undefined && startedAfter(server, entry.registered)) return Number.NEGATIVE_INFINITY;
-    const known = entry?.position ?? this.gone.get(server.id)?.asOf;
+    const known = entry?.position ?? this.removals.get(server.id)?.asOf;
     if (known === undefined || known.era === position.era) return Number.NEGATIVE_INFINITY;
-    return sinceMs + (entry === undefined ? goneHoldsMs : lapsedGraceMs);
+    return sinceMs + (entry === undefined ? removalHoldMs : expiryGraceMs);
   }
 
-  /** A server that said that it leaves still does, whatever else of its registration is from before what is known. */
-  private noteLeaving(entry: Entry, { server, position }: Registration, nowMs: number): boolean {
+  /**
+   * A server that announced its shutdown stays unavailable, even if the rest of its registration is older
+   * than the known state.
+   */
+  private markLeaving(entry: Entry, { server, position }: Registration, nowMs: number): boolean {
     const { goneInMs } = server;
     entry.position = position;
     const leaving = { ...entry.registered, leaving: true };
     return this.replace(entry, goneInMs === undefined ? leaving : { ...leaving, goneInMs }, nowMs);
   }
 
-  /** True if the registration differs from the one before. */
+  /** True if the registration differs from the previous one. */
   private replace(entry: Entry, registered: BackendServer, nowMs: number): boolean {
     const changed = JSON.stringify(registered) !== JSON.stringify(entry.registered);
-    if (changed) this.noteChange(entry, registered);
+    if (changed) this.recordChange(entry, registered);
     entry.registered = registered;
     this.refresh(entry, nowMs);
     return changed;
   }
 
   private drop(id: string, asOf: StorePosition): boolean {
-    this.gone.set(id, { asOf, revision: this.nextRevision("presence") });
-    this.forgetOldestGone();
-    this.availableNow.clear();
+    this.removals.set(id, { asOf, revision: this.nextRevision("presence") });
+    this.dropOldestRemoval();
+    this.availableByService.clear();
     return this.entries.delete(id);
   }
 
   private refresh(entry: Entry, nowMs: number): void {
     entry.server = withChanges(entry, nowMs);
-    this.availableNow.clear();
+    this.availableByService.clear();
   }
 
-  private forgetOldestGone(): void {
-    const [oldest] = this.gone;
-    if (this.gone.size <= mostGone || oldest === undefined) return;
-    this.gone.delete(oldest[0]);
-    this.forgottenRevision = Math.max(this.forgottenRevision, oldest[1].revision);
+  private dropOldestRemoval(): void {
+    const [oldest] = this.removals;
+    if (this.removals.size <= maxRemovals || oldest === undefined) return;
+    this.removals.delete(oldest[0]);
+    this.droppedRevision = Math.max(this.droppedRevision, oldest[1].revision);
   }
 
-  private noteChange({ registered, changedAt }: Entry, next: BackendServer): void {
-    // What lies at hand matters to the lease holder alone, which reads the store itself.
-    if (told(registered, "all") === told(next, "all")) return;
-    const scope = told(registered, "presence") === told(next, "presence") ? "all" : "presence";
+  private recordChange({ registered, changedAt }: Entry, next: BackendServer): void {
+    // Cached weights matter only to the lease holder, which reads the store itself.
+    if (sharedPart(registered, "all") === sharedPart(next, "all")) return;
+    const scope = sharedPart(registered, "presence") === sharedPart(next, "presence") ? "all" : "presence";
     changedAt.all = this.nextRevision(scope);
     if (scope === "presence") changedAt.presence = changedAt.all;
   }
 
   private nextRevision(scope: ChangeScope): number {
-    this.revisionCount += 1;
-    if (scope === "presence") this.presenceCount = this.revisionCount;
-    return this.revisionCount;
+    this.currentRevision += 1;
+    if (scope === "presence") this.currentPresenceRevision = this.currentRevision;
+    return this.currentRevision;
   }
 
-  /** Takes the effect of an order. */
+  /** Applies the effect of an order. */
   applyChange(change: ResidencyChange, nowMs: number): void {
     const entry = this.entries.get(change.serverId);
     if (entry === undefined) return;
-    // What an engine was ordered before it restarted is lost with its memory.
+    // Orders from before a restart have no effect any more, as the engine lost its memory.
     if ((change.startedAtMs ?? 0) !== (entry.registered.startedAtMs ?? 0)) return;
     const key = `${change.model}/${change.adapter ?? ""}`;
-    entry.changes.set(key, { change, untilMs: nowMs + changeHoldsMs });
+    entry.changes.set(key, { change, untilMs: nowMs + changePrecedenceMs });
     this.refresh(entry, nowMs);
   }
 
-  /** A server answered that it doesn't hold the model or adapter: believe it until it says otherwise. */
+  /** The server answered that it doesn't hold the model or adapter; applies until its registration changes. */
   markAbsent(server: BackendServer, model: string, adapter: string | undefined, nowMs: number): void {
     const { id: serverId, startedAtMs } = server;
     this.applyChange({ serverId, startedAtMs, model, adapter, present: false }, nowMs);
   }
 
-  /** Of the registration in force; undefined where none is known. */
+  /** The position of the current registration; undefined for an unknown server. */
   positionOf(id: string): StorePosition | undefined {
     return this.entries.get(id)?.position;
   }
@@ -320,19 +334,19 @@
     return this.entries.get(id)?.server;
   }
 
-  /** Servers of the service that take new requests. Gathered once for all requests until a server changes. */
+  /** Servers of the service that accept new requests. Computed once and cached until a server changes. */
   available(service: string): readonly BackendServer[] {
-    const known = this.availableNow.get(service);
+    const known = this.availableByService.get(service);
     if (known !== undefined) return known;
     const servers = this.all().filter(
       (server) =>
         server.service === service && !server.leaving && this.notices.leavingSinceMs(server) === undefined,
     );
-    this.availableNow.set(service, servers);
+    this.availableByService.set(service, servers);
     return servers;
   }
 
-  /** Servers of the service that said after `sinceMs` that they leave, and are still registered as ready. */
+  /** Servers of the service that announced their shutdown after `sinceMs` and are still registered as ready. */
   leavingSince(service: string, sinceMs: number): readonly BackendServer[] {
     return this.all().filter(
       (server) =>
@@ -342,13 +356,13 @@
     );
   }
 
-  /** Every server known, leaving ones too. */
+  /** Every known server, including those that shut down. */
   all(): BackendServer[] {
     return [...this.entries.values()].map((entry) => entry.server);
   }
 
-  /** Does any server that takes requests hold it? */
-  reachable(service: string, model: string, adapter: string | undefined): boolean {
+  /** Does any available server hold it? */
+  hasHolder(service: string, model: string, adapter: string | undefined): boolean {
     return this.available(service).some((server) => holds(server, model, adapter));
   }
 }
@@ -357,31 +371,32 @@
   return { server: registered, position };
 }
 
-/** The part of a server whose changes are worth telling within the scope, to compare by. */
-function told(server: BackendServer, scope: ChangeScope): string {
+/** The part of a server that is sent to peers within the scope, for comparison. */
+function sharedPart(server: BackendServer, scope: ChangeScope): string {
   const { residents, ...rest } = server;
   return JSON.stringify({ ...rest, atHand: [], residents: scope === "all" ? residents : [] });
 }
 
 /**
- * Guards "requests go to an engine that drops their model": an unload waits for the requests that run, and
- * until it is done the registration shows the model while the engine refuses every new request for it.
+ * Prevents requests to an engine that is unloading their model: an unload waits for running requests, and
+ * until it completes the registration still shows the model while the engine refuses every new request for
+ * it.
  */
-function isSettled(
+function isObsolete(
   registered: BackendServer,
   change: ResidencyChange,
   untilMs: number,
   nowMs: number,
 ): boolean {
-  const wholeModel = change.adapter === undefined && !change.present;
+  const isModelUnload = change.adapter === undefined && !change.present;
   const stillShown = registered.residents.some((resident) => resident.model === change.model);
-  return nowMs >= untilMs + (wholeModel && stillShown ? slowUnloadMs : 0);
+  return nowMs >= untilMs + (isModelUnload && stillShown ? maxUnloadMs : 0);
 }
 
 function withChanges(entry: Entry, nowMs: number): BackendServer {
   let server = entry.registered;
   for (const [key, { change, untilMs }] of entry.changes) {
-    if (isSettled(entry.registered, change, untilMs, nowMs)) entry.changes.delete(key);
+    if (isObsolete(entry.registered, change, untilMs, nowMs)) entry.changes.delete(key);
     else server = withChange(server, change);
   }
   return server;
--- a/src/serving/loadRateLimiter.ts
+++ b/src/serving/loadRateLimiter.ts
@@ -1,29 +1,29 @@
-/** Keeps loads from the weight store under its ceiling over all engines, also while orders are lost. */
+/** Keeps loads from the weight store within its rate limit over all engines, even if orders are lost. */
 
-/** The ceiling: `perS` x `windowS` x `overage` + `extra` loads may begin in any window. */
-export interface LoadCeilingOptions {
+/** Limit of loads that start within any window: `perS` x `windowMs` x `overage` + `extraLoads`. */
+export interface LoadRateLimiterOptions {
   readonly windowMs: number;
   readonly overage: number;
 }
 
-/** Loads allowed beyond the rate; one fewer than the store allows, as a lost order may begin a load later. */
-const extra = 2;
+/** Loads allowed beyond the rate; one fewer than the store allows, as a lost order may start a load later. */
+const extraLoads = 2;
 
-/** Counts loads begun in a sliding window. */
+/** Counts load starts in a sliding window. */
 export class LoadRateLimiter {
-  private begun: number[] = [];
+  private startsMs: number[] = [];
 
-  constructor(private readonly options: LoadCeilingOptions) {}
+  constructor(private readonly options: LoadRateLimiterOptions) {}
 
-  /** Loads that may begin now. */
+  /** Number of loads that may start now. */
   remaining(perS: number, nowMs: number): number {
-    this.begun = this.begun.filter((at) => nowMs - at < this.options.windowMs);
-    const most = Math.floor((perS * this.options.windowMs * this.options.overage) / 1000) + extra;
-    return Math.max(0, most - this.begun.length);
+    this.startsMs = this.startsMs.filter((at) => nowMs - at < this.options.windowMs);
+    const limit = Math.floor((perS * this.options.windowMs * this.options.overage) / 1000) + extraLoads;
+    return Math.max(0, limit - this.startsMs.length);
   }
 
-  /** A load began, or may begin. */
+  /** Records a load that started or may start. */
   record(nowMs: number): void {
-    this.begun.push(nowMs);
+    this.startsMs.push(nowMs);
   }
 }
--- a/src/serving/loadTracker.ts
+++ b/src/serving/loadTracker.ts
@@ -1,51 +1,54 @@
 /**
- * Work in flight at each backend server: this node's own, and what its peers last said of theirs.
- * Answers the pattern in which many nodes, each seeing a small part of the load, pick the same server.
+ * Work in flight at each backend server: this node's own and the latest reports of its peers. Prevents many
+ * nodes that each see a small part of the load from picking the same server.
  */
 
 import * as Schema from "effect/Schema";
 
 /** Work in flight at one server. */
 export interface Load {
-  /** Engine time of reading the prompts of requests whose first event is still to come, ms. */
+  /** Engine time for the prefill of requests that have not had their first event yet, ms. */
   readonly pendingMs: number;
   /** Requests sent and not finished. */
   readonly requests: number;
 }
 
-/** What one node has in flight, by server id: pending ms, requests. */
+/** Work in flight of one node, by server id: pending ms, requests. */
 export const PeerLoads = Schema.Record(Schema.String, Schema.Tuple([Schema.Number, Schema.Number]));
 /** Decoded loads of a node. */
 export type PeerLoads = typeof PeerLoads.Type;
 
-/** A node says what it has in flight: at all servers, or at those where it changed since it last said so. */
+/**
+ * A node's work in flight: at all servers (`whole`), or only at those where it changed since its last
+ * message.
+ */
 export const LoadsMessage = Schema.Struct({ ip: Schema.String, loads: PeerLoads, whole: Schema.Boolean });
 /** A decoded message. */
 export type LoadsMessage = typeof LoadsMessage.Type;
 
-/** A request in flight; `started` when its first event comes, `done` at its end. */
+/** A request in flight; call `started` at its first event and `done` at its end. */
 export interface InFlightRequest {
   started(): void;
   done(): void;
 }
 
-/** A peer's word on its load is not used after this time, ms: it says all of it twice as often. */
-const peerLoadMs = 1_000;
+/** A peer's load expires after this time, ms: full reports come twice as often. */
+const peerLoadTtlMs = 1_000;
 /**
- * A node says at least this often what it has in flight at all servers, ms: a change that was lost on its way is made
- * good by it. Between, changes are enough, and with 80 engines they are a small part of the whole.
+ * Maximum interval between full reports, ms: they make up for lost messages. Between them only changes are
+ * sent, which with 80 engines are a small part of the whole.
  */
-const wholeMs = 500;
+const fullReportIntervalMs = 500;
 
-const none: Load = { pendingMs: 0, requests: 0 };
+const noLoad: Load = { pendingMs: 0, requests: 0 };
 
-/** Sums of work in flight per server. */
+/** Totals of work in flight per server. */
 export class LoadTracker {
   private readonly own = new Map<string, { pendingMs: number; requests: number }>();
   private readonly peers = new Map<string, { loads: Map<string, readonly [number, number]>; atMs: number }>();
-  /** What peers were told last, and when they were told all of it, ms. */
-  private told: PeerLoads = {};
-  private toldWholeMs = Number.NEGATIVE_INFINITY;
+  /** What peers were sent last, and when they were last sent a full report, ms. */
+  private lastSent: PeerLoads = {};
+  private lastFullReportMs = Number.NEGATIVE_INFINITY;
 
   /** Counts a request as in flight at the server until its handle is done. */
   begin(serverId: string, pendingMs: number): InFlightRequest {
@@ -54,7 +57,7 @@
     load.pendingMs += pendingMs;
     load.requests += 1;
     let pending = true;
-    let open = true;
+    let active = true;
     const started = (): void => {
       if (!pending) return;
       pending = false;
@@ -62,15 +65,15 @@
     };
     const done = (): void => {
       started();
-      if (!open) return;
-      open = false;
+      if (!active) return;
+      active = false;
       load.requests -= 1;
       if (load.requests === 0) this.own.delete(serverId);
     };
     return { started, done };
   }
 
-  /** Takes what a peer has in flight. */
+  /** Applies a peer's report. */
   applyPeerLoads({ ip, loads, whole }: LoadsMessage, nowMs: number): void {
     const known = whole ? undefined : this.peers.get(ip)?.loads;
     const merged = known ?? new Map<string, readonly [number, number]>();
@@ -81,24 +84,24 @@
     this.peers.set(ip, { loads: merged, atMs: nowMs });
   }
 
-  /** This node's own load to tell peers now; undefined if they know it. */
+  /** The update of this node's own load to send to peers now; undefined if nothing has to be sent. */
   nextUpdate(nowMs: number): Pick<LoadsMessage, "loads" | "whole"> | undefined {
-    const now = this.mine();
-    const changed = changesBetween(this.told, now);
-    const whole = nowMs - this.toldWholeMs >= wholeMs;
+    const now = this.ownLoads();
+    const changed = changesBetween(this.lastSent, now);
+    const whole = nowMs - this.lastFullReportMs >= fullReportIntervalMs;
     const idle = Object.keys(now).length === 0;
     if (Object.keys(changed).length === 0 && (!whole || idle)) return undefined;
-    this.told = now;
+    this.lastSent = now;
     if (!whole) return { loads: changed, whole };
-    this.toldWholeMs = nowMs;
+    this.lastFullReportMs = nowMs;
     return { loads: now, whole };
   }
 
-  /** All work known to be in flight at the server. */
+  /** All known work in flight at the server. */
   loadOf(serverId: string, nowMs: number): Load {
-    let { pendingMs, requests } = this.own.get(serverId) ?? none;
+    let { pendingMs, requests } = this.own.get(serverId) ?? noLoad;
     for (const { loads, atMs } of this.peers.values()) {
-      const load = nowMs - atMs > peerLoadMs ? undefined : loads.get(serverId);
+      const load = nowMs - atMs > peerLoadTtlMs ? undefined : loads.get(serverId);
       if (load === undefined) continue;
       pendingMs += load[0];
       requests += load[1];
@@ -106,14 +109,14 @@
     return { pendingMs, requests };
   }
 
-  private mine(): PeerLoads {
+  private ownLoads(): PeerLoads {
     return Object.fromEntries(
       [...this.own].map(([id, load]) => [id, [Math.round(load.pendingMs), load.requests] as const]),
     );
   }
 }
 
-/** Entries that differ; those that are gone as nothing in flight. */
+/** Entries that differ; removed ones are given as nothing in flight. */
 function changesBetween(before: PeerLoads, after: PeerLoads): PeerLoads {
   const changed = Object.entries(after).filter(([id, [pendingMs, requests]]) => {
     const known = before[id];
--- a/src/serving/outlierDetector.ts
+++ b/src/serving/outlierDetector.ts
@@ -1,79 +1,81 @@
 /**
- * Which servers answer badly, judged from the answers to requests. Answers crashed servers whose
- * registration lives on for seconds, servers that fail part of their requests with a good health check,
- * slow servers, and servers that fall silent.
+ * Outlier detection: ejects servers that respond badly, judged by the responses to requests. Handles crashed
+ * servers whose registration lives on for seconds, servers that fail some requests although their health
+ * check passes, slow servers, and servers that stop responding.
  */
 
-/** Failures in a row that take a server out. A single one may be an unlucky request. */
-const ejectAfter = 2;
-/** First time out, ms; doubles with each further failure up to the longest. */
+/** Consecutive failures that eject a server. A single failure may be due to the request. */
+const ejectionThreshold = 2;
+/** First ejection time, ms; doubles with each further failure up to the longest. */
 const firstEjectionMs = 600;
-const longestEjectionMs = 3_000;
-/** Weight of the newest answer in the moving averages. */
-const newest = 0.15;
-/** A server this much slower than expected still gets a share that shows when it is well again. */
-const longestSlowdown = 8;
+const maxEjectionMs = 3_000;
+/** Weight of the newest response in the moving averages. */
+const newestWeight = 0.15;
+/** Upper limit of the slowdown; a server this slow still gets enough requests to show when it recovers. */
+const maxSlowdown = 8;
 
-interface AnswerRecord {
-  consecutive: number;
+interface ResponseRecord {
+  consecutiveFailures: number;
   ejectedUntilMs: number;
   unreachableUntilMs: number;
   failureShare: number;
   slowdown: number;
 }
 
-/** What is known of a server's answers. */
+/** Health of a server as judged by its responses. */
 export interface Health {
-  /** Ejected: used only if no other server is available. */
+  /** Used only if no other server is available. */
   readonly ejected: boolean;
-  /** Couldn't be connected to a moment ago. */
+  /** A recent connection attempt failed. */
   readonly unreachable: boolean;
   /** Part of its requests that fail, moving average. */
   readonly failureShare: number;
-  /** Observed over expected time to the first byte, moving average; 1 is as expected. */
+  /** Observed over expected time to first byte, moving average; 1 is as expected. */
   readonly slowdown: number;
 }
 
-/** Answers per server, judged. */
+/** Tracks the responses per server. */
 export class OutlierDetector {
-  private readonly records = new Map<string, AnswerRecord>();
+  private readonly records = new Map<string, ResponseRecord>();
 
-  /** The server answered as it should. */
+  /** The server responded successfully. */
   recordSuccess(serverId: string, observedMs: number, expectedMs: number): void {
     const record = this.record(serverId);
-    record.consecutive = 0;
+    record.consecutiveFailures = 0;
     record.ejectedUntilMs = 0;
     record.unreachableUntilMs = 0;
-    record.failureShare *= 1 - newest;
-    this.slowed(record, observedMs, expectedMs);
+    record.failureShare *= 1 - newestWeight;
+    this.updateSlowdown(record, observedMs, expectedMs);
   }
 
   /**
-   * The server gave no first byte within `waitedMs`: it is at least that much slower than expected. Guards
-   * "an engine that answers nobody in time looks as fast as before", as those it doesn't answer say nothing else.
+   * No first byte came within `waitedMs`, so the server is at least that much slower than expected. Without
+   * this a server that times out on all requests would look as fast as before, as nothing else is observed of
+   * it.
    */
   recordTimeout(serverId: string, waitedMs: number, expectedMs: number): void {
     const record = this.record(serverId);
-    if (waitedMs > expectedMs * record.slowdown) this.slowed(record, waitedMs, expectedMs);
+    if (waitedMs > expectedMs * record.slowdown) this.updateSlowdown(record, waitedMs, expectedMs);
   }
 
   /** The server failed a request that another server might have served. */
   recordFailure(serverId: string, nowMs: number): void {
     const record = this.record(serverId);
-    record.consecutive += 1;
-    record.failureShare += (1 - record.failureShare) * newest;
-    if (record.consecutive >= ejectAfter) this.eject(record, record.consecutive - ejectAfter, nowMs);
+    record.consecutiveFailures += 1;
+    record.failureShare += (1 - record.failureShare) * newestWeight;
+    if (record.consecutiveFailures >= ejectionThreshold)
+      this.eject(record, record.consecutiveFailures - ejectionThreshold, nowMs);
   }
 
-  /** The server could not be reached at all: taken out at once. */
+  /** The server could not be connected to: ejected at once. */
   recordUnreachable(serverId: string, nowMs: number): void {
     const record = this.record(serverId);
-    record.consecutive += 1;
-    this.eject(record, record.consecutive - 1, nowMs);
+    record.consecutiveFailures += 1;
+    this.eject(record, record.consecutiveFailures - 1, nowMs);
     record.unreachableUntilMs = record.ejectedUntilMs;
   }
 
-  /** What is known of the server now. */
+  /** Current health of the server. */
   health(serverId: string, nowMs: number): Health {
     const record = this.records.get(serverId);
     if (record === undefined) return { ejected: false, unreachable: false, failureShare: 0, slowdown: 1 };
@@ -86,31 +88,31 @@
     };
   }
 
-  /** Drops what is known of the server. */
+  /** Removes the server's record. */
   remove(serverId: string): void {
     this.records.delete(serverId);
   }
 
-  /** Drops what is known of servers that are gone. */
+  /** Removes the records of all servers that are not listed. */
   retain(serverIds: ReadonlySet<string>): void {
     for (const id of this.records.keys()) if (!serverIds.has(id)) this.records.delete(id);
   }
 
-  private slowed(record: AnswerRecord, observedMs: number, expectedMs: number): void {
-    const ratio = Math.min(longestSlowdown, observedMs / Math.max(1, expectedMs));
-    record.slowdown += (Math.max(1, ratio) - record.slowdown) * newest;
+  private updateSlowdown(record: ResponseRecord, observedMs: number, expectedMs: number): void {
+    const ratio = Math.min(maxSlowdown, observedMs / Math.max(1, expectedMs));
+    record.slowdown += (Math.max(1, ratio) - record.slowdown) * newestWeight;
   }
 
-  private eject(record: AnswerRecord, times: number, nowMs: number): void {
-    const time = Math.min(longestEjectionMs, firstEjectionMs * 2 ** Math.min(times, 8));
+  private eject(record: ResponseRecord, times: number, nowMs: number): void {
+    const time = Math.min(maxEjectionMs, firstEjectionMs * 2 ** Math.min(times, 8));
     record.ejectedUntilMs = nowMs + time;
   }
 
-  private record(serverId: string): AnswerRecord {
+  private record(serverId: string): ResponseRecord {
     const known = this.records.get(serverId);
     if (known !== undefined) return known;
     const record = {
-      consecutive: 0,
+      consecutiveFailures: 0,
       ejectedUntilMs: 0,
       unreachableUntilMs: 0,
       failureShare: 0,
--- a/src/serving/prefillFactors.ts
+++ b/src/serving/prefillFactors.ts
@@ -1,95 +1,103 @@
 /**
- * How fast each model runs, learned from first bytes. Larger models read and make tokens several times more
- * slowly, and nobody says by how much; a model taken for faster than it is gets too few copies, and engines
- * that hold it look less busy than they are. Models of one size are of one kind and run alike, so they are
- * learned together, and nodes tell each other what they learned: each alone sees too few requests.
+ * Estimates each model's prefill factor from the times to first byte. Larger models prefill and decode
+ * several times more slowly, and no setting says by how much; an underestimated factor gives a model too few
+ * replicas and makes engines that hold it look less busy than they are. Models of the same size behave alike,
+ * so they share an estimate, and nodes exchange their estimates because each sees too few requests on its
+ * own.
  */
 import type { Model } from "./configuration.ts";
 
-/** Before anything was observed, and the bounds that keep a few odd answers from deciding. */
-const initial = 0.8;
-const lowest = 0.05;
-const highest = 4;
+/** Initial factor, and limits that keep a few outliers from dominating. */
+const initialFactor = 0.8;
+const minFactor = 0.05;
+const maxFactor = 4;
 /**
- * Steps towards a faster and towards a slower observation. What else an engine does at the moment only makes it
- * slower, so its pace is what the fastest tenth of the observations show.
+ * Weights of a faster and of a slower observation. Other work of the engine only makes a request slower, so
+ * the estimate follows the fastest tenth of the observations.
  */
-const fasterStep = 0.3;
-const slowerStep = 0.03;
-/** Least time of a first token beside the reading: the way there, one step, the way back; as first taken, ms. */
+const fasterWeight = 0.3;
+const slowerWeight = 0.03;
+/** Initial minimum time to first token without the prefill, ms: network both ways and one decoding step. */
 const initialOverheadMs = 8;
-/** Shorter readings say little of a pace, ms at pace 1. */
-const leastReadingMs = 10;
-/** Observations that count at most when nodes' paces are averaged. */
-const mostObservations = 20;
-/** What the initial pace counts for, in observations. */
+/** Shorter prefills say little about the factor, ms at factor 1. */
+const minPrefillMs = 10;
+/** Maximum weight of a node's estimate in the average over nodes, in observations. */
+const maxObservations = 20;
+/** Weight of the initial factor, in observations. */
 const initialWeight = 1;
 
-/** A pace learned from `count` observations. */
-interface Learned {
-  pace: number;
+/** A factor estimated from `count` observations. */
+interface FactorEstimate {
+  factor: number;
   count: number;
 }
 
-/** What one node has learned, by kind: pace and observations. */
+/** Estimates of one node, by kind of model: factor and number of observations. */
 export type PeerPrefillFactors = Readonly<Record<string, readonly [number, number]>>;
 
-/** Pace per kind of model: time taken over time expected at the reference speed. */
+/** Prefill factor per kind of model: prefill time relative to the reference speed. */
 export class PrefillFactors {
-  private readonly own = new Map<string, Learned>();
-  private overhead = initialOverheadMs;
+  private readonly own = new Map<string, FactorEstimate>();
+  private overheadEstimateMs = initialOverheadMs;
   private readonly peers = new Map<string, PeerPrefillFactors>();
 
-  /** The pace of a model; a middling one before its kind is known. */
+  /** The factor of a model; near `initialFactor` while its kind has few observations. */
   factorOf(model: Model | undefined): number {
     if (model === undefined) return 1;
     const kind = kindOf(model);
-    let sum = initial * initialWeight;
+    let sum = initialFactor * initialWeight;
     let count = initialWeight;
     const mine = this.own.get(kind);
     if (mine !== undefined) {
-      sum += mine.pace * mine.count;
+      sum += mine.factor * mine.count;
       count += mine.count;
     }
-    for (const paces of this.peers.values()) {
-      const [pace, observed] = paces[kind] ?? [0, 0];
-      sum += pace * observed;
+    for (const factors of this.peers.values()) {
+      const [factor, observed] = factors[kind] ?? [0, 0];
+      sum += factor * observed;
       count += observed;
     }
     return sum / count;
   }
 
-  /** Least time to a first token beside the reading of the prompt, ms. */
+  /** Minimum time to first token without the prefill, ms. */
   get overheadMs(): number {
-    return this.overhead;
+    return this.overheadEstimateMs;
   }
 
   /**
-   * The first byte came after `observedMs` while, as far as is known, no other prompt was read; reading its own takes
-   * `readingMs` at pace 1.
+   * Applies a first byte that came after `observedMs` while, as far as known, no other prompt was being
+   * prefilled; its own prefill takes `prefillMs` at factor 1.
    */
-  observe(model: Model, observedMs: number, readingMs: number): void {
-    if (readingMs < leastReadingMs) {
-      const beside = Math.max(1, observedMs - readingMs * this.factorOf(model));
-      this.overhead += (beside - this.overhead) * (beside < this.overhead ? fasterStep : slowerStep);
+  observe(model: Model, observedMs: number, prefillMs: number): void {
+    if (prefillMs < minPrefillMs) {
+      const withoutPrefillMs = Math.max(1, observedMs - prefillMs * this.factorOf(model));
+      this.overheadEstimateMs +=
+        (withoutPrefillMs - this.overheadEstimateMs) *
+        (withoutPrefillMs < this.overheadEstimateMs ? fasterWeight : slowerWeight);
       return;
     }
-    const ratio = Math.min(highest, Math.max(lowest, (observedMs - this.overhead) / readingMs));
+    const ratio = Math.min(
+      maxFactor,
+      Math.max(minFactor, (observedMs - this.overheadEstimateMs) / prefillMs),
+    );
     const kind = kindOf(model);
-    const known = this.own.get(kind) ?? { pace: ratio, count: 0 };
-    known.count = Math.min(mostObservations, known.count + 1);
-    known.pace += (ratio - known.pace) * (ratio < known.pace ? fasterStep : slowerStep);
+    const known = this.own.get(kind) ?? { factor: ratio, count: 0 };
+    known.count = Math.min(maxObservations, known.count + 1);
+    known.factor += (ratio - known.factor) * (ratio < known.factor ? fasterWeight : slowerWeight);
     this.own.set(kind, known);
   }
 
-  /** What this node has learned, to tell peers. */
+  /** This node's estimates, to send to peers. */
   snapshot(): PeerPrefillFactors {
-    return Object.fromEntries([...this.own].map(([kind, a]) => [kind, [Number(a.pace.toFixed(2)), a.count]]));
+    return Object.fromEntries(
+      [...this.own].map(([kind, a]) => [kind, [Number(a.factor.toFixed(2)), a.count]]),
+    );
   }
 
-  /** Takes what a peer has learned. */
-  applyPeerFactors(peer: string, paces: PeerPrefillFactors): void {
-    this.peers.set(peer, paces);
+  /** Applies the estimates of a peer. */
+  applyPeerFactors(peer: string, factors: PeerPrefillFactors): void {
+    this.peers.set(peer, factors);
   }
 }
 
--- a/src/serving/routeTable.ts
+++ b/src/serving/routeTable.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request, and the service a split route sends it to. */
+/** Matches requests to routes and selects the service of a route with a traffic split. */
 import * as crypto from "node:crypto";
 import type { Configuration, Route, Service } from "./configuration.ts";
 
@@ -22,17 +22,17 @@
     }
   }
 
-  /** The route of the host with the longest prefix that begins the path. */
+  /** The route of the host with the longest prefix of the path. */
   match(host: string, path: string): Route | undefined {
     return this.byHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** The service by name, if this configuration has it. */
+  /** The service by name; undefined if this configuration lacks it. */
   service(name: string): Service | undefined {
     return this.services.get(name);
   }
 
-  /** The service this request goes to: by weight, and the same one whenever the request is asked about. */
+  /** Selects the service of a request by weight; the same request id always gets the same service. */
   selectService(route: Route, requestId: string): string | undefined {
     if (route.shares.length <= 1) return route.shares[0]?.service;
     const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
@@ -45,7 +45,7 @@
   }
 }
 
-/** A number from 0 to 1, evenly spread and the same for the same text. */
+/** A uniformly distributed number from 0 to 1, derived from the text. */
 export function hashFraction(text: string): number {
   return crypto.createHash("md5").update(text).digest().readUInt32BE(0) / 0x1_0000_0000;
 }
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the backend server for a request: the one whose first byte is expected soonest. Answers bursts,
- * uneven servers and prompts with shared parts, where every server would read every prefix again.
+ * Selects the backend server for a request: the one with the earliest expected first byte. Handles bursts,
+ * servers of uneven speed, and prompts with shared prefixes, which would otherwise be prefilled on every
+ * server.
  */
 import { hashText, mixHash } from "../common/textHash.ts";
 import type { BackendServer } from "./backendServer.ts";
@@ -10,82 +11,91 @@
 import type { Health } from "./outlierDetector.ts";
 
 /**
- * What a request in flight at an engine counts for beside the first token of the next, ms: each one makes the pauses
- * of all others longer, so of two engines the emptier one is worth a later first token.
+ * Cost of each request in flight at an engine beside the time to first token, ms: every request lengthens the
+ * token intervals of all others, so the less loaded engine is worth a later first token.
  */
-const engineRequestMs = 4;
-/** Work of one plain call, ms, before anything was measured. */
+const concurrentRequestCostMs = 4;
+/** Assumed time of one plain call, ms, before any measurement. */
 export const plainCallMs = 40;
-/** Part of the shared prompt taken as cached on the server that its hash prefers. */
-const cachedShare = 0.9;
-/** Up to this part of its slots in use an engine counts as quiet: its steps are hardly longer. */
-const quietPart = 0.5;
+/** Part of the shared prefix that is assumed to be cached on the server preferred by its hash. */
+const cachedRatio = 0.9;
 /**
- * What a server in another availability zone counts for more, ms: the way there and back, and bytes that are paid for.
- * Less than one request in flight, so that no zone's servers are crowded beside idle ones.
+ * Up to this part of its slots in use an engine counts as lightly loaded: its decoding steps are hardly
+ * longer.
  */
-const otherZoneMs = 2;
-/** What one failure costs in expectation, ms: sending again and waiting for it. */
-const failureMs = 400;
+const lightLoadRatio = 0.5;
+/**
+ * Penalty of a server in another availability zone, ms: the round trip, and paid traffic. Less than the cost
+ * of one request in flight, so that no zone's servers are overloaded beside idle ones.
+ */
+const otherZonePenaltyMs = 2;
+/** Expected cost of one failure, ms: waiting for it and sending the request again. */
+const failureCostMs = 400;
 
-/** What decides between servers. */
-export interface Choice {
+/** Input of a server choice. */
+export interface ChoiceInput {
   readonly candidates: readonly BackendServer[];
   /** The availability zone of this node. */
   readonly zone: string;
-  /** Drawn anew for each choice, from 0 to 1: decides between equal servers. */
+  /** Random number from 0 to 1, drawn for each choice: breaks ties between equal servers. */
   readonly randomDraw: number;
   /** Servers that already had this request and are not asked again. */
   readonly tried: ReadonlySet<string>;
   readonly promptTokens: number;
-  /** Pace of the model asked for. */
+  /** Prefill factor of the requested model. */
   readonly prefillFactor: number;
-  /** Least time to a first token beside the reading of the prompt, ms. */
+  /** Minimum time to first token without the prefill, ms. */
   readonly overheadMs: number;
-  /** Until a request gets a slot of a server with so many requests and slots, ms. */
+  /** Expected wait for a slot of a server with this many requests and slots, ms. */
   readonly slotWaitMs: (requests: number, slots: number) => number;
   readonly prefix: readonly PromptPart[];
-  /** Model and adapter: caches are kept for each on its own. */
+  /** Model and adapter: each has its own prefix cache. */
   readonly cacheScope: string;
   readonly load: (serverId: string) => Load;
   readonly health: (serverId: string) => Health;
 }
 
-/** A server, and the time to its first byte expected of it, ms. */
+/** A server with its expected time to first byte, ms. */
 export interface ServerEstimate {
   readonly server: BackendServer;
   readonly expectedMs: number;
-  /** The same of a server in full health, which its answers are measured by, ms. */
+  /** The same for a server without failures or slowdown, as a reference for its responses, ms. */
   readonly baselineMs: number;
-  /** Until the first token of a request that needs no reading, by what is ahead of it at the server, ms. */
+  /** Expected time to first token without the prefill, from the work queued at the server, ms. */
   readonly queueMs: number;
-  /** Requests in flight there, as far as is known. */
+  /** Known requests in flight there. */
   readonly requests: number;
-  /** Engine time of reading what isn't expected in its cache, ms; 0 at plain servers. */
+  /**
+   * Engine time for the prefill of the part of the prompt that is not expected in its cache, ms; 0 for plain
+   * servers.
+   */
   readonly prefillMs: number;
-  /** No other prompt is being read there, and there are slots to spare. */
+  /** No other prefill is in progress there, and slots are free. */
   readonly lightlyLoaded: boolean;
-  /** Reading what isn't expected in its cache at pace 1, ms. */
+  /** `prefillMs` at prefill factor 1. */
   readonly referencePrefillMs: number;
 }
 
-/** The best server, or undefined if every candidate was tried. Ejected ones only if nothing else is left. */
-export function chooseServer(choice: Choice): ServerEstimate | undefined {
-  const fresh = choice.candidates.filter((server) => !choice.tried.has(server.id));
-  const sound = fresh.filter((server) => !choice.health(server.id).ejected);
-  const servers = sound.length > 0 ? sound : fresh;
+/**
+ * The best server, or undefined if every candidate was tried. Ejected servers are used only if no others are
+ * left.
+ */
+export function chooseServer(input: ChoiceInput): ServerEstimate | undefined {
+  const untried = input.candidates.filter((server) => !input.tried.has(server.id));
+  const healthy = untried.filter((server) => !input.health(server.id).ejected);
+  const servers = healthy.length > 0 ? healthy : untried;
   if (servers.length === 0) return undefined;
-  const home = cacheHome(choice, servers);
-  return soonest(
-    rotated(servers, choice.randomDraw).map((server) => expectation(choice, server, server.id === home)),
-    choice.zone,
+  const preferredId = preferredServerId(input, servers);
+  return earliest(
+    rotated(servers, input.randomDraw).map((server) => estimateFor(input, server, server.id === preferredId)),
+    input.zone,
   );
 }
 
-/** The option whose first byte comes soonest, ways between zones included; of equal ones the first. */
-function soonest(options: readonly ServerEstimate[], zone: string): ServerEstimate | undefined {
+/** The estimate with the earliest first byte, including the penalty for other zones; the first one of equals. */
+function earliest(options: readonly ServerEstimate[], zone: string): ServerEstimate | undefined {
   const costMs = ({ server, expectedMs }: ServerEstimate): number =>
-    expectedMs + (server.zone === zone ? 0 : otherZoneMs);
+    expectedMs + (server.zone === zone ? 0 : otherZonePenaltyMs);
   return options.reduce<ServerEstimate | undefined>(
     (best, option) => (best === undefined || costMs(option) < costMs(best) ? option : best),
     undefined,
@@ -93,73 +103,75 @@
 }
 
 /**
- * From a drawn one on. Guards "all nodes choose the same of several idle servers": hundreds of nodes that each had a
- * request or two, and heard nothing of each other, sent four times its share to the first one.
+ * Starts at a random server. Prevents all nodes from choosing the same of several idle servers: with hundreds
+ * of nodes that each had one or two requests and no reports from each other, the first server got four times
+ * its share.
  */
 function rotated(servers: readonly BackendServer[], draw: number): readonly BackendServer[] {
   const start = Math.floor(draw * servers.length);
   return [...servers.slice(start), ...servers.slice(0, start)];
 }
 
-function expectation(choice: Choice, server: BackendServer, isHome: boolean): ServerEstimate {
-  const load = choice.load(server.id);
-  const health = choice.health(server.id);
-  const workMs = server.engine ? readingMs(choice, isHome) : 0;
-  const queueMs = server.engine ? engineQueueMs(choice, server, load) : plainMs(server, load);
-  const crowdMs = server.engine ? load.requests * engineRequestMs : 0;
-  const healthyMs = queueMs + crowdMs + workMs;
-  const expectedMs = healthyMs * health.slowdown + health.failureShare * failureMs;
-  const quiet = load.pendingMs === 0 && load.requests <= quietPart * server.slots;
-  const referenceMs = workMs / choice.prefillFactor;
+function estimateFor(input: ChoiceInput, server: BackendServer, isPreferred: boolean): ServerEstimate {
+  const load = input.load(server.id);
+  const health = input.health(server.id);
+  const prefillMs = server.engine ? estimatePrefillMs(input, isPreferred) : 0;
+  const queueMs = server.engine ? engineQueueMs(input, server, load) : plainServerMs(server, load);
+  const concurrencyMs = server.engine ? load.requests * concurrentRequestCostMs : 0;
+  const baselineMs = queueMs + concurrencyMs + prefillMs;
+  const expectedMs = baselineMs * health.slowdown + health.failureShare * failureCostMs;
+  const lightlyLoaded = load.pendingMs === 0 && load.requests <= lightLoadRatio * server.slots;
+  const referencePrefillMs = prefillMs / input.prefillFactor;
   const { requests } = load;
   return {
     server,
     expectedMs,
-    baselineMs: healthyMs,
+    baselineMs,
     queueMs,
     requests,
-    prefillMs: workMs,
-    lightlyLoaded: quiet,
-    referencePrefillMs: referenceMs,
+    prefillMs,
+    lightlyLoaded,
+    referencePrefillMs,
   };
 }
 
-function readingMs(choice: Choice, isHome: boolean): number {
-  const cached = isHome ? sharedPrefixTokens(choice.prefix) * cachedShare : 0;
-  return (Math.max(0, choice.promptTokens - cached) / prefillTokensPerMs) * choice.prefillFactor;
+function estimatePrefillMs(input: ChoiceInput, isPreferred: boolean): number {
+  const cached = isPreferred ? sharedPrefixTokens(input.prefix) * cachedRatio : 0;
+  return (Math.max(0, input.promptTokens - cached) / prefillTokensPerMs) * input.prefillFactor;
 }
 
-function engineQueueMs({ overheadMs, slotWaitMs }: Choice, server: BackendServer, load: Load): number {
+function engineQueueMs({ overheadMs, slotWaitMs }: ChoiceInput, server: BackendServer, load: Load): number {
   return overheadMs + load.pendingMs + slotWaitMs(load.requests, server.slots);
 }
 
-/** Up to its slots a plain server works on requests at once; what is beyond them waits in line. */
-function plainMs(server: BackendServer, load: Load): number {
+/** A plain server processes as many requests concurrently as it has slots; the others queue. */
+function plainServerMs(server: BackendServer, load: Load): number {
   const waiting = Math.max(0, load.requests + 1 - server.slots);
-  // Servers slow down when they are nearly full, so the emptier one goes first.
+  // Servers slow down when nearly full, so the less loaded one is preferred.
   return plainCallMs * (1 + waiting / server.slots + (0.5 * load.requests) / server.slots);
 }
 
-/** All but the last part, which belongs to the request or its session alone. */
+/** Tokens of all parts but the last, which belongs to this request or session only. */
 export function sharedPrefixTokens(prefix: readonly PromptPart[]): number {
   return prefix.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
 /**
- * The server at which requests with the same shared parts meet: highest random weight, so that all nodes
- * agree without talking and few prompts move when a server comes or goes.
+ * The server that requests with the same shared parts are sent to: rendezvous (highest random weight)
+ * hashing, so that all nodes agree without communication and few prompts move when a server is added or
+ * removed.
  */
-function cacheHome(choice: Choice, servers: readonly BackendServer[]): string | undefined {
-  if (choice.prefix.length < 2) return undefined;
-  const parts = choice.prefix.slice(0, -1).map((part) => part.id);
-  const key = hashText(`${choice.cacheScope} ${parts.join(",")} `);
-  let home: string | undefined;
+function preferredServerId(input: ChoiceInput, servers: readonly BackendServer[]): string | undefined {
+  if (input.prefix.length < 2) return undefined;
+  const parts = input.prefix.slice(0, -1).map((part) => part.id);
+  const key = hashText(`${input.cacheScope} ${parts.join(",")} `);
+  let preferredId: string | undefined;
   let highest = -1;
   for (const server of servers) {
     const weight = mixHash(hashText(server.id, key));
     if (weight <= highest) continue;
     highest = weight;
-    home = server.id;
+    preferredId = server.id;
   }
-  return home;
+  return preferredId;
 }
