--- a/src/serving/eraTracker.ts
+++ b/src/serving/eraTracker.ts
@@ -1,36 +1,39 @@
-/** The era of the store: it grows each time the store comes back from a copy and has lost its newest writes. */
+/**
+ * The era (epoch) of the store: grows each time the store is restored from a backup and has lost its newest
+ * writes.
+ */
 import { Emitter } from "../common/emitter.ts";
 
-/** The store came back from a copy. */
+/** The store was restored from a backup. */
 export interface EraChange {
-  /** Undefined where no era was known. */
+  /** Undefined if no era was known. */
   readonly from: number | undefined;
   readonly to: number;
 }
 
-/** The newest era that a node knows of, from answers of the store and from its peers. */
+/** The newest era known to a node, from responses of the store and from its peers. */
 export class EraTracker {
-  /** Fired before anything that was read in the new era is used. */
+  /** Fired before any data read in the new era is used. */
   readonly changed = new Emitter<EraChange>();
-  private known: number | undefined;
-  private knownSinceMs = Number.NEGATIVE_INFINITY;
+  private era: number | undefined;
+  private eraSinceMs = Number.NEGATIVE_INFINITY;
 
-  /** Undefined until the first answer or word of a peer. */
+  /** Undefined until the first response or peer message. */
   get current(): number | undefined {
-    return this.known;
+    return this.era;
   }
 
-  /** When this node came to know of the era, on the steady clock, ms. */
+  /** When this node learned of the era, ms on the monotonic clock. */
   get sinceMs(): number {
-    return this.knownSinceMs;
+    return this.eraSinceMs;
   }
 
-  /** Takes an era that an answer or a peer names; one that isn't later than the known one changes nothing. */
+  /** Applies an era named by a response or a peer; an era that is not newer changes nothing. */
   observe(era: number): void {
-    const from = this.known;
+    const from = this.era;
     if (from !== undefined && era <= from) return;
-    this.known = era;
-    this.knownSinceMs = performance.now();
+    this.era = era;
+    this.eraSinceMs = performance.now();
     this.changed.fire({ from, to: era });
   }
 }
--- a/src/serving/leaseRules.ts
+++ b/src/serving/leaseRules.ts
@@ -1,81 +1,85 @@
 /**
- * Who may order engines. One lease row in the store names the holder and, on the store's steady clock,
- * the moment until which it may send orders. Answers holders that die, freeze, or are cut off while their
- * last order may still be on its way: a successor waits until none can be sent any more, and then the
- * time for which two holders must not take turns.
+ * Rules of the lease that permits one node to send orders to engines. A row in the store names the holder and
+ * the time, on the store's monotonic clock, until which it may send orders. Handles holders that crash, are
+ * suspended, or are partitioned while their last order may still be in transit: a successor waits until no
+ * more orders can be sent, and then for the handover delay.
  *
- * A store that comes back from a copy may have lost the row of the last holder. A row of an era before says nothing of who
- * held the lease since, so a successor waits as long as that holder could have kept it: no renewal of an era before was
- * sent after this node first heard of the new one. The last holder itself may go on, as all others wait.
+ * A store restored from a backup may have lost the row of the last holder. A row of an earlier era doesn't
+ * tell who has held the lease since, so a successor waits as long as that holder could have kept it: no
+ * renewal in an earlier era was sent after this node first learned of the new one. The last holder itself may
+ * continue, as all others wait.
  */
 import * as Schema from "effect/Schema";
 
-/** The lease row's value. */
+/** Value of the lease row. */
 export const LeaseRow = Schema.Struct({
   holder: Schema.String,
-  /** Where the holder runs: a new host under an old name is another holder. */
+  /** IP of the holder: a new host that reuses a name is a different holder. */
   ip: Schema.String,
-  /** Grows with every holder. */
+  /** Fencing token, which grows with every holder. */
   token: Schema.Number,
-  /** The holder sends no order after this, ms on the store's clock. */
+  /** The holder sends no order after this time, ms on the store's clock. */
   untilMs: Schema.Number,
-  /** The era of the store in which it was written; absent in the first one. */
+  /** The store's era in which it was written; absent in the first era. */
   era: Schema.optionalKey(Schema.Number),
   /**
-   * Set when the holder gave the lease up: when it last ordered each engine, ms on the store's clock. A
-   * successor needn't wait, but keeps its distance at each engine.
+   * Set when the holder released the lease: the time of its last order to each engine, ms on the store's
+   * clock. A successor may take the lease at once, but keeps the handover delay at each engine.
    */
   ordered: Schema.optionalKey(Schema.Record(Schema.String, Schema.Number)),
 });
 /** A decoded lease row. */
 export type LeaseRow = typeof LeaseRow.Type;
 
-/** Time a renewal is good for, ms: two and a half periods of renewal, so that one may be lost. */
+/** Lifetime of a renewal, ms: two and a half renewal periods, so that one renewal may be lost. */
 export const leaseTtlMs = 2_000;
-/** Period of renewal, ms. */
+/** Renewal period, ms. */
 export const leaseRenewMs = 800;
 /**
- * A write of an earlier era may be carried out late and replace the holder's row, if its condition holds by chance. The
- * holder has found out and written it again after this time, ms.
+ * A delayed write from an earlier era may replace the holder's row if its condition happens to hold. The
+ * holder has noticed and restored the row after this time, ms.
  */
-const rewriteMs = 2 * leaseRenewMs;
-/** How long after another holder's last order to an engine a successor may order it, ms. */
+const rowRestoreMs = 2 * leaseRenewMs;
+/** Time after another holder's last order to an engine until a successor may send it one, ms. */
 export function handoverDelayMs(leaseMs: number): number {
-  return leaseMs + handoverSlackMs;
+  return leaseMs + handoverMarginMs;
 }
 
-/** Kept between two holders beyond the platform's bound, ms: network delay of an order in flight. */
-const handoverSlackMs = 300;
+/** Added to the platform's lease bound, ms: network delay of an order in transit. */
+const handoverMarginMs = 300;
 
-/** Who asks for the lease. */
+/** A node that asks for the lease. */
 export interface LeaseCandidate {
   readonly host: string;
   readonly ip: string;
 }
 
-/** A holder tells its peers that it gives the lease up, as it can't reach the store any more. */
+/** Sent to peers by a holder that releases the lease because it can't reach the store any more. */
 export const LeaseYield = Schema.Struct({
   token: Schema.Number,
-  /** Time since it last ordered each engine, ms; engines not named were left alone for long. */
+  /** Time since its last order to each engine, ms; engines not named had no recent order. */
   orderedAgoMs: Schema.Record(Schema.String, Schema.Number),
 });
 /** A decoded yield. */
 export type LeaseYield = typeof LeaseYield.Type;
 
-/** What a candidate knows of the lease. */
+/** What a candidate knows about the lease. */
 export interface LeaseView {
   readonly row: LeaseRow | undefined;
-  /** The era in which the row was read, and the time for which this node has known of it, ms. */
+  /** The era in which the row was read, and for how long this node has known of that era, ms. */
   readonly era: number;
   readonly eraAgeMs: number;
-  /** Time for which the candidate has known the row as it is, ms. */
+  /** Time since the candidate first saw the row in its current state, ms. */
   readonly unchangedMs: number;
-  /** The candidate held the lease last, and so lately that nobody can have taken it in an era that is lost. */
+  /**
+   * The candidate was the last holder, so recently that nobody can have taken the lease in an era that was
+   * lost.
+   */
   readonly heldLast: boolean;
   readonly storeNowMs: number;
 }
 
-/** Does the row tell who held the lease last, rather than come from a copy? */
+/** Was the row written in the current era rather than restored from a backup? */
 export function isFromEra(row: LeaseRow | undefined, era: number): boolean {
   return era === 0 || row?.era === era;
 }
@@ -85,53 +89,53 @@
   const { row, era, eraAgeMs, unchangedMs, heldLast, storeNowMs } = view;
   if (!isFromEra(row, era)) {
     const lastOrderMs = leaseTtlMs + handoverDelayMs(leaseMs) - eraAgeMs;
-    return heldLast ? 0 : Math.max(0, lastOrderMs, rewriteMs - unchangedMs);
+    return heldLast ? 0 : Math.max(0, lastOrderMs, rowRestoreMs - unchangedMs);
   }
   if (row === undefined || row.ordered !== undefined || isSameHost(row, candidate)) return 0;
   return Math.max(0, row.untilMs + handoverDelayMs(leaseMs) - storeNowMs);
 }
 
-/** Tokens given out in one era, at most. */
+/** Maximum number of tokens per era. */
 const tokensPerEra = 2 ** 32;
 
 /**
- * The token of the next holder. Guards "a token is given out twice": those given out in seconds that the store lost are
- * not in the row, so each era has tokens of its own, above those of all before.
+ * The token of the next holder. Prevents a token from being issued twice: tokens issued in the writes that
+ * the store lost are missing from the row, so each era has its own range above those of all earlier eras.
  */
 export function nextToken(row: LeaseRow | undefined, era: number): number {
   return Math.max(row?.token ?? 0, era * tokensPerEra) + 1;
 }
 
-/** Is this the same host, perhaps after a restart? */
+/** Is this the same host, possibly after a restart? */
 export function isSameHost(row: LeaseRow, candidate: LeaseCandidate): boolean {
   return row.holder === candidate.host && row.ip === candidate.ip;
 }
 
 /**
- * The store's clock, never taken for earlier than it is: its reading was taken after the call was sent, so
- * reading plus the time since sending is at or past the true time.
+ * Estimate of the store's clock that is never behind it: the reading was taken after the call was sent, so
+ * the reading plus the time since sending is at or past the true time.
  */
 export class StoreClock {
   private readingMs = 0;
   private sentMs = Number.NEGATIVE_INFINITY;
 
-  /** An answer to a call sent at `sentMs` carried `nowMs`. */
+  /** The response to a call sent at `sentMs` carried the store's time `nowMs`. */
   update(nowMs: number, sentMs: number): void {
     this.readingMs = nowMs;
     this.sentMs = sentMs;
   }
 
-  /** True once a reading was taken. */
+  /** True after the first reading. */
   get known(): boolean {
     return this.sentMs > 0;
   }
 
-  /** The store's time at `steadyMs` or a little later. */
+  /** The store's time at the local monotonic time `steadyMs`, or slightly later. */
   at(steadyMs: number): number {
     return this.readingMs + (steadyMs - this.sentMs);
   }
 
-  /** The steady time, or a little earlier, at which the store's clock shows `storeMs`. */
+  /** The local monotonic time at which the store's clock shows `storeMs`, or slightly earlier. */
   monotonicAt(storeMs: number): number {
     return this.sentMs + (storeMs - this.readingMs);
   }
--- a/src/serving/storeApi.ts
+++ b/src/serving/storeApi.ts
@@ -1,26 +1,26 @@
-/** The calls of the store as they are made: versions are numbers, each answer names its era. */
+/** The store's calls as sent over the wire: versions are plain numbers, and each response names its era. */
 import type { StoreCallOptions } from "./store.ts";
 
-/** Part of every answer. */
-interface Answer {
+/** Fields of every response. */
+interface StoreResponse {
   readonly era: number;
   /** Newest version in the store. */
   readonly version: number;
-  /** The store's steady clock, ms. */
+  /** The store's monotonic clock, ms. */
   readonly nowMs: number;
 }
 
-/** Rows of one table, as of one moment. */
-export interface RowsResponse extends Answer {
+/** Rows of one table at one point in time. */
+export interface RowsResponse extends StoreResponse {
   readonly rows: readonly { readonly key: string; readonly value: string; readonly version: number }[];
-  /** Keys dropped since the version asked for; only in answers about changes. */
+  /** Keys removed since the requested version; only in responses to `changes`. */
   readonly removed: readonly string[];
 }
 
-/** The acknowledgement of a commit. */
-export type CommitResponse = Answer;
+/** Acknowledgement of a commit. */
+export type CommitResponse = StoreResponse;
 
-/** A row to write (or, with no value, to remove) if its version still is `expected` (0: absent). */
+/** A row to write (or to remove, without a value) if its version is still `expected` (0: absent). */
 export interface CommitEntry {
   readonly table: string;
   readonly key: string;
@@ -28,7 +28,7 @@
   readonly expected?: number | undefined;
 }
 
-/** Makes the calls; rejects as `Store` does. */
+/** Sends the calls; rejects like `Store`. */
 export interface StoreApi {
   list(table: string, options?: StoreCallOptions): Promise<RowsResponse>;
   get(table: string, key: string, options?: StoreCallOptions): Promise<RowsResponse>;
