--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -319,7 +319,7 @@
     this.refresh(entry, nowMs);
   }
 
-  /** The server answered that it doesn't hold the model or adapter; applies until its registration changes. */
+  /** The server answered that it doesn't hold the model or adapter: takes effect like an unload order. */
   markAbsent(server: BackendServer, model: string, adapter: string | undefined, nowMs: number): void {
     const { id: serverId, startedAtMs } = server;
     this.applyChange({ serverId, startedAtMs, model, adapter, present: false }, nowMs);
--- a/src/serving/placementPlan.ts
+++ b/src/serving/placementPlan.ts
@@ -16,8 +16,8 @@
 /** Additional cost of each evicted model. */
 const evictionCost = 0.02;
 /**
- * An unload waits for running requests. Until it completes (10 s and more under load) the engine takes no
- * other order and refuses new requests for the model, so a replica in use is evicted only for a large gain.
+ * An unload waits for running requests. Until it completes (seconds, ten or more under load) the engine takes
+ * no other order and refuses new requests for the model, so a replica in use is evicted only for a large gain.
  */
 const drainCost = 0.15;
 const drainRequestCost = 0.04;
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -70,7 +70,7 @@
    * servers.
    */
   readonly prefillMs: number;
-  /** No other prefill is in progress there, and slots are free. */
+  /** No other prefill is in progress there, and at most `lightLoadRatio` of its slots are in use. */
   readonly lightlyLoaded: boolean;
   /** `prefillMs` at prefill factor 1. */
   readonly referencePrefillMs: number;
