--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -1,39 +1,43 @@
 /**
- * Decides whether a request is sent to its engine now, waits on this node, or is refused. Answers load beyond
- * what the engines of a model can read: sent all at once, every prompt is read a piece at a time, all first
- * tokens come after their callers have left, and the work on all of them is lost. Held back here, those that
- * are sent come in time, the more urgent ones first, and the others can still be refused without having run.
+ * Decides whether a request is sent to its engine now, waits on this node, or is refused. If the load exceeds the
+ * prefill capacity of a model's engines and all requests were sent at once, every prompt would be processed a little
+ * at a time, all first tokens would come after their callers have disconnected, and all of that work would be lost.
+ * With requests held back here, those that are sent are served in time, the more urgent ones first, and the others
+ * can still be refused without having run.
  */
 import { willMissDeadline } from "./sendRules.ts";
 
-/** A request is sent if the first token of one that needs no reading is expected within this part of its target. */
-const targetPart = 0.9;
-/** The same as a part of the time that the caller still waits, for targets that are already missed. */
-const leftPart = 0.3;
-/** How much earlier than the next rank a more urgent route's requests are sent. */
-const rankStep = 0.25;
+/** A request is sent if the first token of one without prefill is expected within this ratio of its target. */
+const targetRatio = 0.9;
+/** The same as a ratio of the time that the caller still waits, for targets that are already missed. */
+const remainingRatio = 0.3;
+/** How much earlier requests of a route are sent than those of the next lower priority. */
+const priorityStepRatio = 0.25;
 /**
- * Part of an engine's slots that each rank below the most urgent leaves free. Guards "a stream pauses midway": where
- * every slot is taken a more urgent request takes that of a less urgent one, whose prompt is then read anew.
+ * Ratio of an engine's slots that each priority below the most urgent leaves free. If every slot were taken, a more
+ * urgent request would evict a less urgent one, whose stream would pause midway while its prompt is processed again.
  */
-const slotsLeftPerRank = 0.06;
-/** Requests beyond an engine's slots that the most urgent may have sent, as a part of them: some end at any moment. */
-const overbookedPart = 0.05;
+const priorityReserveRatio = 0.06;
 /**
- * Part of its slots that requests past their target leave free: where not all can come in time those that still can
- * go first.
+ * Requests of the highest priority beyond an engine's slots, as a ratio of the slots: some running requests end at
+ * any moment.
  */
-const slotsLeftByLate = 0.08;
-/** Longest time a request is held back here, as a part of its caller's patience: later it is refused. */
-const heldPart = 0.35;
+const overbookRatio = 0.05;
+/**
+ * Ratio of the slots that requests past their target leave free: if not all can be served in time, those that still
+ * can go first.
+ */
+const lateReserveRatio = 0.08;
+/** Longest time a request waits here, as a ratio of its caller's timeout; after that it is refused. */
+const maxWaitRatio = 0.35;
 
-/** What decides. */
+/** What the decision is based on. */
 export interface AdmissionView {
-  /** Until the first token, by what is ahead of the request at the engine, ms. */
+  /** Expected time until the first token due to the queue at the engine, ms. */
   readonly queueMs: number;
-  /** The same with the reading of the request itself. */
+  /** The same including the prefill of the request itself. */
   readonly expectedFirstByteMs: number;
-  /** Until the caller leaves without a first byte, ms; and the whole of that time. */
+  /** Time until the caller disconnects without a first byte, ms, and that timeout in all. */
   readonly remainingMs: number;
   readonly callerTimeoutMs: number;
   readonly targetMs: number;
@@ -44,32 +48,34 @@
   readonly slots: number;
 }
 
-/** `refuse` names when the engines should have caught up. */
+/** `refuse` states when the engines should have caught up. */
 export type Admission =
   | { readonly kind: "send" }
   | { readonly kind: "wait" }
   | { readonly kind: "refuse"; readonly retryAfterMs: number };
 
-/** What to do with the request now. */
+/** Decides what to do with the request now. */
 export function admit(view: AdmissionView): Admission {
-  const { queueMs, expectedFirstByteMs: expectedMs, remainingMs: leftMs } = view;
-  if (willMissDeadline(expectedMs, leftMs)) return { kind: "refuse", retryAfterMs: expectedMs - leftMs };
+  const { queueMs, expectedFirstByteMs, remainingMs } = view;
+  if (willMissDeadline(expectedFirstByteMs, remainingMs))
+    return { kind: "refuse", retryAfterMs: expectedFirstByteMs - remainingMs };
   const limitMs =
-    Math.max(targetPart * view.targetMs, leftPart * leftMs) / (1 + rankStep * Math.max(0, view.priority));
+    Math.max(targetRatio * view.targetMs, remainingRatio * remainingMs) /
+    (1 + priorityStepRatio * Math.max(0, view.priority));
   if (queueMs <= limitMs && hasSlot(view)) return { kind: "send" };
-  if (view.callerTimeoutMs - leftMs < heldPart * view.callerTimeoutMs) return { kind: "wait" };
+  if (view.callerTimeoutMs - remainingMs < maxWaitRatio * view.callerTimeoutMs) return { kind: "wait" };
   return { kind: "refuse", retryAfterMs: queueMs };
 }
 
-/** Is there a slot for the request, beside those kept for others? */
+/** Whether there is a slot for the request, besides those reserved for others. */
 function hasSlot({
   priority,
   requests,
   slots,
-  callerTimeoutMs: patienceMs,
-  remainingMs: leftMs,
+  callerTimeoutMs,
+  remainingMs,
   targetMs,
 }: AdmissionView): boolean {
-  const late = patienceMs - leftMs > targetMs ? slotsLeftByLate : 0;
-  return requests < slots * (1 + overbookedPart - slotsLeftPerRank * Math.max(0, priority) - late);
+  const lateReserve = callerTimeoutMs - remainingMs > targetMs ? lateReserveRatio : 0;
+  return requests < slots * (1 + overbookRatio - priorityReserveRatio * Math.max(0, priority) - lateReserve);
 }
--- a/src/serving/clockJumpDetector.ts
+++ b/src/serving/clockJumpDetector.ts
@@ -1,31 +1,31 @@
 /**
- * Notices that the host stood still. The steady clock stops while a host is frozen and the time of day
- * goes on, so a gap between them is a freeze; what was believed before it, a lease above all, is suspect.
+ * Detects that the host was suspended. The monotonic clock stops while a host is suspended and the wall clock goes
+ * on, so a gap between the two shows a suspension, after which earlier knowledge, above all a lease, may be outdated.
  */
 
 /** Smaller gaps are drift and late timers, ms. */
-const freezeMs = 300;
+const minJumpMs = 300;
 
 /** Readings of both clocks, ms. */
-export interface Clocks {
+export interface ClockReadings {
   readonly monotonicMs: number;
   readonly wallMs: number;
 }
 
-/** Compares the clocks at each look. */
+/** Compares the clocks at each check. */
 export class ClockJumpDetector {
   private offset: number | undefined;
 
-  /** True if the time of day moved against the steady clock since the last look, in either direction. */
-  detectJump(clocks: Clocks): boolean {
+  /** True if the wall clock moved against the monotonic clock since the last check, in either direction. */
+  detectJump(clocks: ClockReadings): boolean {
     const offset = clocks.wallMs - clocks.monotonicMs;
     const previous = this.offset;
     this.offset = offset;
-    return previous !== undefined && Math.abs(offset - previous) > freezeMs;
+    return previous !== undefined && Math.abs(offset - previous) > minJumpMs;
   }
 }
 
 /** Reads both clocks of this process. */
-export function readClocks(): Clocks {
+export function readClocks(): ClockReadings {
   return { monotonicMs: performance.now(), wallMs: Date.now() };
 }
--- a/src/serving/eventSplitter.ts
+++ b/src/serving/eventSplitter.ts
@@ -1,6 +1,6 @@
-/** Cuts the bytes of an event stream into whole events, so that a broken stream never ends inside one. */
+/** Splits the bytes of an event stream into complete events, so that an interrupted stream never ends inside one. */
 
-/** One event: its bytes with the blank line that ends it, and its id if it has one. */
+/** One event: its bytes including the blank line that ends it, and its id if it has one. */
 export interface StreamEvent {
   readonly bytes: Buffer;
   readonly id: number | undefined;
@@ -13,21 +13,21 @@
 const nine = 0x39;
 const idPrefix = Buffer.from("id:");
 const idField = /^id:[ ]?(\d+)\r?$/m;
-/** Ids of up to this many digits are read without the pattern. */
-const shortDigits = 15;
+/** Ids of up to this many digits are parsed without the regular expression. */
+const maxFastDigits = 15;
 
-/** Collects chunks and gives back the events completed by each. */
+/** Collects chunks and returns the events completed by each. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event that is not complete yet. */
   get incomplete(): Buffer {
-    return this.rest;
+    return this.remainder;
   }
 
-  /** Adds a chunk; the events it completes, in order. */
+  /** Adds a chunk and returns the events that it completes, in order. */
   push(chunk: Buffer): StreamEvent[] {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    const bytes = this.remainder.length === 0 ? chunk : Buffer.concat([this.remainder, chunk]);
     const events: StreamEvent[] = [];
     let from = 0;
     for (let end = eventEnd(bytes, from); end > 0; end = eventEnd(bytes, from)) {
@@ -35,12 +35,12 @@
       events.push({ bytes: event, id: firstLineId(event) ?? anyLineId(event) });
       from = end;
     }
-    this.rest = bytes.subarray(from);
+    this.remainder = bytes.subarray(from);
     return events;
   }
 }
 
-/** Index after the blank line that ends the event starting at `from`; 0 if it is not complete. */
+/** Index after the blank line that ends the event starting at `from`; 0 if the event is not complete. */
 function eventEnd(bytes: Buffer, from: number): number {
   for (let i = bytes.indexOf(newline, from); i >= 0; i = bytes.indexOf(newline, i + 1)) {
     if (bytes[i + 1] === newline) return i + 2;
@@ -49,7 +49,7 @@
   return 0;
 }
 
-/** The id where the event begins with it, as nearly all do; undefined if that isn't sure. */
+/** Parses the id of an event that begins with it, as nearly all do; undefined if in doubt. */
 function firstLineId(event: Buffer): number | undefined {
   if (event[0] !== idPrefix[0] || event[1] !== idPrefix[1] || event[2] !== idPrefix[2]) return undefined;
   const from = event[3] === space ? 4 : 3;
@@ -59,8 +59,8 @@
     id = id * 10 + (byte - zero);
     at += 1;
   }
-  const whole = event[at] === newline || (event[at] === carriageReturn && event[at + 1] === newline);
-  return whole && at > from && at - from <= shortDigits ? id : undefined;
+  const isComplete = event[at] === newline || (event[at] === carriageReturn && event[at + 1] === newline);
+  return isComplete && at > from && at - from <= maxFastDigits ? id : undefined;
 }
 
 function isDigit(byte: number | undefined): byte is number {
--- a/src/serving/hostSettings.ts
+++ b/src/serving/hostSettings.ts
@@ -1,48 +1,48 @@
-/** What a gateway process is told about the host it runs on. */
+/** Settings of a gateway process for the host that it runs on. */
 import * as Schema from "effect/Schema";
 
-/** IP and port to bind or to call. */
+/** IP and port to listen on or to connect to. */
 export const Endpoint = Schema.Struct({ ip: Schema.String, port: Schema.Number });
 /** A decoded endpoint. */
 export type Endpoint = typeof Endpoint.Type;
 
-/** Settings of one host, checked at start. */
+/** Settings of one host, checked at startup. */
 export const HostSettings = Schema.Struct({
   host: Schema.String,
   ip: Schema.String,
   zone: Schema.String,
-  /** Processor cores that the process may use. */
+  /** CPU cores that the process may use. */
   strength: Schema.Number,
-  /** Callers' requests. */
+  /** Receives the requests of callers. */
   callers: Endpoint,
-  /** Readiness checks. */
+  /** Serves readiness checks. */
   readiness: Endpoint,
-  /** Callers ask here which addresses to use. */
+  /** Serves the addresses that callers should use. */
   directory: Endpoint,
   /** Messages between gateway nodes (UDP and TCP). */
   peers: Endpoint,
   metrics: Endpoint,
-  /** Where other gateway nodes may be found when the store is away. */
+  /** Where to look for other gateway nodes while the store is unavailable. */
   seeds: Schema.Array(Endpoint),
   store: Endpoint,
-  /** Two holders of the placement lease must not order within this time of one another, ms. */
+  /** Minimum time between the orders of two holders of the placement lease, ms. */
   leaseMs: Schema.Number,
-  /** Time a host is given between SIGTERM and SIGKILL, ms. */
+  /** Time between SIGTERM and SIGKILL, ms. */
   graceMs: Schema.Number,
-  /** A server may be sent requests for this long after it said that it leaves, ms. */
+  /** A server may be sent requests for this long after it announced its shutdown, ms. */
   drainMs: Schema.Number,
-  /** Longest time callers keep an answer of the directory, s. */
+  /** Longest time for which callers cache a response of the directory, s. */
   maxTtlS: Schema.Number,
   retryRatio: Schema.Number,
   retryBurst: Schema.Number,
-  /** The weight store's ceiling: loads that begin within the window, over all engines. */
+  /** Rate limit of the weight store: loads started within the window, over all engines. */
   ceilingWindowS: Schema.Number,
   ceilingOverage: Schema.Number,
 });
 /** Decoded host settings. */
 export type HostSettings = typeof HostSettings.Type;
 
-/** `IP:PORT` → an endpoint; undefined if the text is not one. */
+/** Parses `IP:PORT`; undefined if the text is not an endpoint. */
 export function parseEndpoint(text: string): Endpoint | undefined {
   const match = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
   if (match === null) return undefined;
@@ -50,7 +50,7 @@
   return port > 0 && port < 65536 ? { ip: match[1] ?? "", port } : undefined;
 }
 
-/** The endpoint as `IP:PORT`. */
+/** Formats the endpoint as `IP:PORT`. */
 export function formatEndpoint(endpoint: Endpoint): string {
   return `${endpoint.ip}:${endpoint.port}`;
 }
--- a/src/serving/membership/activeSet.ts
+++ b/src/serving/membership/activeSet.ts
@@ -1,158 +1,171 @@
 /**
- * Decides which nodes are active. Answers fleets of hundreds of hosts: if all took callers, told each other their
- * loads and kept connections to every server, a small host would spend all of its time and link on the others. So in
- * each availability zone only as many nodes are active as the load needs, the strongest first; the others stand by,
- * hear what they need to take over, and take over in a second or two when active ones are lost. Every node decides for
- * itself from what it hears, so no node's loss stops the others from deciding.
+ * Decides which nodes are active. In a fleet of hundreds of hosts, if every node accepted callers, sent its loads to
+ * all others and kept connections to every server, a small host would spend all of its CPU time and bandwidth on its
+ * peers. So each availability zone has only as many active nodes as the load needs, those with the most CPU capacity
+ * first. The others are standby nodes: they receive what they need to take over, and do so within a second or two
+ * when active nodes are lost. Each node decides for itself from the messages it receives, so the loss of a node
+ * doesn't stop the others from deciding.
  */
 
-/** Nodes up to which all are active: telling each other costs little, and callers lose least with one. */
-const fewNodes = 16;
-/** Active nodes over all zones, at least: the loss of one cuts off one caller in twelve. */
-const leastActive = 12;
-/** More nodes are wanted where the active ones use more than this part of their processor time. */
-const crowdedPart = 0.5;
-/** Part of their processor time that active nodes are to use once those wanted besides are active. */
-const targetPart = 0.45;
-/** Nodes that stand by are told of the use of crowded nodes in steps of this part. */
-const crowdingStep = 0.1;
 /**
- * A zone grows by so many nodes in a step, beyond the least: a node that has just become active runs cold code and costs the
- * others messages, so that a larger step raises the use that called for it.
+ * In fleets of up to this many nodes all are active: few messages are needed, and callers are affected least by the
+ * loss of one.
  */
-const defaultStep = 1;
-/** One retires only if those that stay would use less than this part, so that none comes and goes by turns. */
-const easyPart = 0.25;
+const smallFleetNodes = 16;
+/** Minimum number of active nodes over all zones: the loss of one interrupts one caller in twelve. */
+const minActiveNodes = 12;
+/** A zone scales out when its active nodes use more than this ratio of their CPU capacity. */
+const scaleOutUtilizationRatio = 0.5;
+/** CPU utilization that a zone should have after scaling out. */
+const targetUtilizationRatio = 0.45;
+/** Standby nodes are notified of the utilization of overutilized nodes in steps of this ratio. */
+const overutilizationStepRatio = 0.1;
+/**
+ * Number of nodes by which a zone grows in one step beyond the minimum. A newly active node runs cold code and costs
+ * the others messages, so a larger step would itself raise the utilization that caused it.
+ */
+const defaultMaxPerStep = 1;
+/** A node returns to standby only if the remaining nodes would stay below this utilization, which avoids flapping. */
+const scaleInUtilizationRatio = 0.25;
 
-/** A node that can be active. */
+/** A node that can become active. */
 export interface Candidate {
   readonly ip: string;
   readonly zone: string;
-  /** Processor cores that it may use. */
+  /** CPU cores that the node may use. */
   readonly strength: number;
 }
 
-/** An active node, with the part of its processor time that it uses, from 0 to 1. */
+/** An active node and its CPU utilization, from 0 to 1. */
 export interface ActiveNode extends Candidate {
-  /** Over a short window: scale out goes by it. */
+  /** Over a short window; scaling out goes by it. */
   readonly busy: number;
-  /** Over a long window, if known: scale in goes by it as well. */
+  /** Over a long window, if known; scaling in goes by it as well. */
   readonly steadyBusy?: number | undefined;
 }
 
-/** What a node knows when it decides. */
+/** What a node's decision is based on. */
 export interface MembershipView {
   readonly self: ActiveNode;
-  /** Active nodes heard from lately, without this one. */
+  /** Active nodes from which a heartbeat was received recently, without this one. */
   readonly active: readonly ActiveNode[];
-  /** Nodes that may exist, active or not, dead or alive; this one may be among them. */
+  /** Nodes that may exist, active or not, alive or dead; may include this one. */
   readonly knownNodes: readonly Candidate[];
-  /** By how many nodes a zone may grow in a step. */
+  /** Number of nodes by which a zone may grow in one step. */
   readonly mostPerStep?: number | undefined;
 }
 
 /**
- * Is a node that stands by wanted? Then how many turns are to pass before it steps in, as nodes before it may be dead;
- * undefined if it isn't wanted. All that are wanted step in at the same turn, without word of each other.
+ * Returns whether a standby node should become active: the number of turns to wait first, as nodes ahead of it may be
+ * dead, or undefined if it isn't needed. All nodes that are needed are activated in the same turn, without
+ * coordinating.
  */
 export function turnsBeforeActivation({
   self,
   active,
-  knownNodes: listed,
-  mostPerStep = defaultStep,
+  knownNodes,
+  mostPerStep = defaultMaxPerStep,
 }: MembershipView): number | undefined {
-  if (isSmallFleet(listed)) return 0;
+  if (isSmallFleet(knownNodes)) return 0;
   const inZone = active.filter((node) => node.zone === self.zone);
-  const least = leastInZone(self, active, listed);
-  if (inZone.length >= least && !isOverutilized(inZone)) return undefined;
+  const minActive = minActiveInZone(self, active, knownNodes);
+  if (inZone.length >= minActive && !isOverutilized(inZone)) return undefined;
   const known = new Set([self, ...active].map((node) => node.ip));
-  const others = listed.filter((node) => node.zone === self.zone && !known.has(node.ip));
-  const waiting = [...others, self].sort((a, b) => (comesBefore(a, b) ? -1 : 1));
-  return Math.floor(waiting.indexOf(self) / placesFor(inZone, waiting, { least, mostPerStep }));
+  const others = knownNodes.filter((node) => node.zone === self.zone && !known.has(node.ip));
+  const waiting = [...others, self].sort((a, b) => (precedes(a, b) ? -1 : 1));
+  return Math.floor(waiting.indexOf(self) / nodesToActivate(inZone, waiting, { minActive, mostPerStep }));
 }
 
 /**
- * How many of those that wait, in their order, have to become active to bring the active ones' use down to the target.
- * Saturated nodes are asked for an unknown amount more than they use; the target more than doubles their strength.
+ * Number of waiting nodes, in their order, that have to become active to bring the utilization down to the target.
+ * The demand on saturated nodes exceeds their utilization by an unknown amount; the target more than doubles their
+ * capacity.
  */
-function placesFor(
+function nodesToActivate(
   inZone: readonly ActiveNode[],
   waiting: readonly Candidate[],
-  { least, mostPerStep }: { readonly least: number; readonly mostPerStep: number },
+  { minActive, mostPerStep }: { readonly minActive: number; readonly mostPerStep: number },
 ): number {
-  const wanted = isOverutilized(inZone) ? used(inZone) / targetPart : 0;
-  let reached = strength(inZone);
-  let places = 0;
+  const requiredCapacity = isOverutilized(inZone) ? usedCapacity(inZone) / targetUtilizationRatio : 0;
+  let reached = totalCapacity(inZone);
+  let count = 0;
   for (const node of waiting) {
-    if (inZone.length + places >= least && (reached >= wanted || places >= mostPerStep)) break;
+    if (inZone.length + count >= minActive && (reached >= requiredCapacity || count >= mostPerStep)) break;
     reached += node.strength;
-    places += 1;
+    count += 1;
   }
-  return places;
+  return count;
 }
 
 /**
- * May an active node retire to stand by? Then how many others of its zone are to retire before it; undefined if it has to
- * stay. The nodes before it alone must be able to carry the load, so they still can if several retire at once.
+ * Returns whether an active node may return to standby: the number of nodes of its zone that go before it, or
+ * undefined if it has to stay. The nodes ahead of it must be able to carry the load alone, so several nodes may
+ * return to standby at once.
  */
-export function turnsBeforeRetirement({
-  self,
-  active,
-  knownNodes: listed,
-}: MembershipView): number | undefined {
-  if (isSmallFleet(listed)) return undefined;
+export function turnsBeforeRetirement({ self, active, knownNodes }: MembershipView): number | undefined {
+  if (isSmallFleet(knownNodes)) return undefined;
   const inZone = active.filter((node) => node.zone === self.zone);
-  const ahead = inZone.filter((node) => comesBefore(node, self));
-  if (ahead.length < leastInZone(self, active, listed)) return undefined;
-  if (used([...inZone, self].map(peak)) >= easyPart * strength(ahead)) return undefined;
+  const ahead = inZone.filter((node) => precedes(node, self));
+  if (ahead.length < minActiveInZone(self, active, knownNodes)) return undefined;
+  if (
+    usedCapacity([...inZone, self].map(withPeakUtilization)) >=
+    scaleInUtilizationRatio * totalCapacity(ahead)
+  )
+    return undefined;
   return inZone.length - ahead.length;
 }
 
-/** The nodes of each zone that come first, some more than need to be active: those to look for at a start. */
-export function likelyActive(self: Candidate, listed: readonly Candidate[]): readonly Candidate[] {
-  if (isSmallFleet(listed)) return listed;
-  const wanted = 2 * leastInZone(self, [], listed);
-  return listed.filter((node) => {
-    const ahead = listed.filter((other) => other.zone === node.zone && comesBefore(other, node));
-    return ahead.length < wanted;
+/** The first nodes of each zone, twice as many as must be active: those to contact at startup. */
+export function likelyActive(self: Candidate, knownNodes: readonly Candidate[]): readonly Candidate[] {
+  if (isSmallFleet(knownNodes)) return knownNodes;
+  const maxAhead = 2 * minActiveInZone(self, [], knownNodes);
+  return knownNodes.filter((node) => {
+    const ahead = knownNodes.filter((other) => other.zone === node.zone && precedes(other, node));
+    return ahead.length < maxAhead;
   });
 }
 
-/** Are there so few nodes that all of them are active? */
-export function isSmallFleet(listed: readonly Candidate[]): boolean {
-  return listed.length <= fewNodes;
+/** Whether the fleet is so small that all nodes are active. */
+export function isSmallFleet(knownNodes: readonly Candidate[]): boolean {
+  return knownNodes.length <= smallFleetNodes;
 }
 
-function leastInZone(self: Candidate, active: readonly Candidate[], listed: readonly Candidate[]): number {
-  const zones = new Set([self, ...active, ...listed].map((node) => node.zone));
-  return Math.ceil(leastActive / zones.size);
+function minActiveInZone(
+  self: Candidate,
+  active: readonly Candidate[],
+  knownNodes: readonly Candidate[],
+): number {
+  const zones = new Set([self, ...active, ...knownNodes].map((node) => node.zone));
+  return Math.ceil(minActiveNodes / zones.size);
 }
 
-/** Do the nodes use so much of their processor time that more are wanted? */
+/** Whether the utilization of the nodes calls for scaling out. */
 export function isOverutilized(nodes: readonly ActiveNode[]): boolean {
-  return used(nodes) > crowdedPart * strength(nodes);
+  return usedCapacity(nodes) > scaleOutUtilizationRatio * totalCapacity(nodes);
 }
 
-/** The node with the larger of its uses over the two windows. */
-function peak(node: ActiveNode): ActiveNode {
+/** The node with the higher of its utilizations over the two windows. */
+function withPeakUtilization(node: ActiveNode): ActiveNode {
   return { ...node, busy: Math.max(node.busy, node.steadyBusy ?? 0) };
 }
 
-/** How crowded the nodes of a zone are, in coarse steps; 0 if they aren't. */
+/** Utilization of overutilized nodes in coarse steps; 0 if they aren't overutilized. */
 export function overutilizationLevel(nodes: readonly ActiveNode[]): number {
-  return isOverutilized(nodes) ? Math.floor(used(nodes) / strength(nodes) / crowdingStep) : 0;
+  return isOverutilized(nodes)
+    ? Math.floor(usedCapacity(nodes) / totalCapacity(nodes) / overutilizationStepRatio)
+    : 0;
 }
 
-function used(nodes: readonly ActiveNode[]): number {
+function usedCapacity(nodes: readonly ActiveNode[]): number {
   return nodes.reduce((sum, node) => sum + node.busy * node.strength, 0);
 }
 
-function strength(nodes: readonly Candidate[]): number {
+function totalCapacity(nodes: readonly Candidate[]): number {
   return nodes.reduce((sum, node) => sum + node.strength, 0);
 }
 
-/** The order in which nodes of a zone are active: the strongest first, the same on every node. */
-function comesBefore(a: Candidate, b: Candidate): boolean {
+/** The order in which the nodes of a zone are activated: by descending CPU capacity, the same on every node. */
+function precedes(a: Candidate, b: Candidate): boolean {
   if (a.strength !== b.strength) return a.strength > b.strength;
   return a.ip < b.ip;
 }
--- a/src/serving/membership/directory.ts
+++ b/src/serving/membership/directory.ts
@@ -1,42 +1,46 @@
 /**
- * Chooses the nodes that a caller is told of. Callers pick one at random, so a node is told of as often as its spare
- * processor time allows: told of equally, the weakest node is overloaded while the strongest are idle.
+ * Chooses the node addresses that a caller is given. Callers pick one at random, so a node is listed in proportion to
+ * its spare CPU capacity. If all nodes were listed equally often, the weakest would be overloaded while the strongest
+ * are idle.
  */
 
-/** Below this part of its processor time a node has room for more, and is told of by its strength alone. */
-const easyPart = 0.5;
-/** From this part on it is as good as full: word of it goes to all that tell callers of it. */
-const fullPart = 0.8;
-/** A node without room is still told of this much: its use is a few hundred milliseconds old. */
-const leastRoom = 0.1;
-/** Callers are told of so many nodes at least, as one of them may just have died. */
-const leastTold = 3;
+/** Below this utilization a node has room for more load, and is weighted by its CPU capacity alone. */
+const lightLoadRatio = 0.5;
+/**
+ * From this utilization on a node counts as saturated, which is broadcast to all nodes that answer directory
+ * requests.
+ */
+const saturatedRatio = 0.8;
+/** A saturated node keeps this much headroom, as its reported utilization is a few hundred milliseconds old. */
+const minHeadroomRatio = 0.1;
+/** Minimum number of addresses given to a caller, as one of the nodes may just have died. */
+const minAddresses = 3;
 
-/** A node that takes callers. */
+/** A node that accepts callers. */
 export interface DirectoryNode {
-  /** Where callers reach it, IP:PORT. */
+  /** Address for callers, IP:PORT. */
   readonly callers: string;
-  /** Processor cores that it may use, and the part of them that it uses. */
+  /** CPU cores that the node may use, and their utilization from 0 to 1. */
   readonly strength: number;
   readonly busy: number;
 }
 
-/** Addresses to tell one caller; `draw` gives numbers from 0 to 1. */
+/** Addresses to give to one caller; `draw` returns random numbers from 0 to 1. */
 export function chooseAddresses(nodes: readonly DirectoryNode[], draw: () => number): string[] {
-  const spares = nodes.map((node) => ({ node, spare: spareOf(node) }));
-  const most = Math.max(...spares.map(({ spare }) => spare));
-  const told = spares.filter(({ spare }) => draw() * most <= spare);
-  const rest = spares.filter((entry) => !told.includes(entry)).sort((a, b) => b.spare - a.spare);
-  told.push(...rest.slice(0, Math.max(0, leastTold - told.length)));
-  return told.map(({ node }) => node.callers);
+  const spares = nodes.map((node) => ({ node, spare: spareCapacityOf(node) }));
+  const maxSpare = Math.max(...spares.map(({ spare }) => spare));
+  const chosen = spares.filter(({ spare }) => draw() * maxSpare <= spare);
+  const rest = spares.filter((entry) => !chosen.includes(entry)).sort((a, b) => b.spare - a.spare);
+  chosen.push(...rest.slice(0, Math.max(0, minAddresses - chosen.length)));
+  return chosen.map(({ node }) => node.callers);
 }
 
-/** Has the node hardly any room for more? */
-export function isFull({ busy }: Pick<DirectoryNode, "busy">): boolean {
-  return busy >= fullPart;
+/** Whether the node has hardly any spare capacity. */
+export function isSaturated({ busy }: Pick<DirectoryNode, "busy">): boolean {
+  return busy >= saturatedRatio;
 }
 
-function spareOf({ strength, busy }: DirectoryNode): number {
-  const room = (1 - Math.max(easyPart, Math.min(1, busy))) / (1 - easyPart);
-  return strength * Math.max(leastRoom, room);
+function spareCapacityOf({ strength, busy }: DirectoryNode): number {
+  const headroom = (1 - Math.max(lightLoadRatio, Math.min(1, busy))) / (1 - lightLoadRatio);
+  return strength * Math.max(minHeadroomRatio, headroom);
 }
--- a/src/serving/membership/owner.ts
+++ b/src/serving/membership/owner.ts
@@ -1,4 +1,7 @@
-/** Which node answers for a key: highest random weight, so that nodes that know the same nodes agree without talking. */
+/**
+ * Assigns keys to nodes by rendezvous hashing (highest random weight): nodes that know the same nodes agree without
+ * coordination.
+ */
 import { hashFraction } from "../routeTable.ts";
 
 /** The owner of the key among the nodes; undefined if there are none. */
--- a/src/serving/membership/peerTable.ts
+++ b/src/serving/membership/peerTable.ts
@@ -1,105 +1,105 @@
 /**
- * Which gateway nodes are active and take callers. Answers nodes that die, are cut off or stop: callers are
- * told only addresses of nodes heard from lately that didn't say goodbye.
+ * Tracks which gateway nodes are active and accept callers. Callers are only given addresses of nodes from which a
+ * heartbeat was received recently, so nodes that died, stopped or were partitioned are left out.
  */
 import * as crypto from "node:crypto";
 import * as Schema from "effect/Schema";
 import type { BudgetShare } from "../retryBudget.ts";
 import { StorePosition } from "../storePosition.ts";
-import { isFull } from "./directory.ts";
+import { isSaturated } from "./directory.ts";
 import { ownerOf } from "./owner.ts";
 import { isSmallFleet, likelyActive, type ActiveNode, type Candidate } from "./activeSet.ts";
 
-/** What callers ask of a node. */
+/** Demand of a node's callers. */
 export const CallerDemand = Schema.Struct({
-  /** Engine ms asked for per second, by demand key. */
+  /** Requested engine time in ms per second, by demand key. */
   demand: Schema.Record(Schema.String, Schema.Number),
   /** Requests that wait for a model, by demand key. */
   waiting: Schema.Record(Schema.String, Schema.Number),
-  /** Engine ms asked for per second, by adapter key. */
+  /** Requested engine time in ms per second, by adapter key. */
   adapters: Schema.Record(Schema.String, Schema.Number),
-  /** Requests sent and not finished, by residency key. */
+  /** Requests in flight, by residency key. */
   running: Schema.Record(Schema.String, Schema.Number),
 });
 /** Decoded demand of a node. */
 export type CallerDemand = typeof CallerDemand.Type;
 
-const rosterStanding = {
+const rosterStatusFields = {
   host: Schema.String,
-  /** Grows with each start of the node's process. */
+  /** Increases with each start of the node's process. */
   boot: Schema.Number,
   ip: Schema.String,
   port: Schema.Number,
   zone: Schema.String,
-  /** Where callers reach it, IP:PORT. */
+  /** Address for callers, IP:PORT. */
   callers: Schema.String,
   ready: Schema.Boolean,
-  /** Processor cores that it may use, and the part of them that it used lately. */
+  /** CPU cores that the node may use, and their recent utilization from 0 to 1. */
   strength: Schema.Number,
   busy: Schema.Number,
   /** Version of its configuration; 0 without one. */
   version: Schema.Number,
-  /** Time since it last read the registrations from the store, ms; absent if the store doesn't answer it. */
+  /** Time since its last read of the registrations from the store, ms; absent if the store doesn't answer this node. */
   readAgeMs: Schema.optionalKey(Schema.Number),
-  /** Grows with each change of servers that it learned. */
+  /** Increases with each change of the servers that the node knows. */
   fleetRevision: Schema.Number,
   /** Its fencing token while it holds the placement lease. */
   token: Schema.optionalKey(Schema.Number),
 };
 
-/** How an active node stands, as nodes that stand by need to know it. */
-export const RosterNodeStatus = Schema.Struct(rosterStanding);
+/** Status of an active node as sent to standby nodes. */
+export const RosterNodeStatus = Schema.Struct(rosterStatusFields);
 
-const standing = {
-  ...rosterStanding,
-  /** The part of its processor cores that it used over several seconds. */
+const statusFields = {
+  ...rosterStatusFields,
+  /** CPU utilization over several seconds, from 0 to 1. */
   steadyBusy: Schema.optionalKey(Schema.Number),
-  /** The newest era of the store that it knows. */
+  /** The latest era of the store that the node knows. */
   storeEra: Schema.optionalKey(Schema.Number),
 };
 
-/** How an active node stands. */
-export const NodeStatus = Schema.Struct(standing);
-/** A decoded standing. */
+/** Status of an active node. */
+export const NodeStatus = Schema.Struct(statusFields);
+/** A decoded node status. */
 export type NodeStatus = typeof NodeStatus.Type;
 
-/** What an active node tells the others a few times a second; one that stands by tells only the lease holder. */
+/** Sent by active nodes to all others a few times a second; a standby node sends it to the lease holder only. */
 export const Heartbeat = Schema.Struct({
-  ...standing,
-  /** Does it take callers, rather than stand by? */
+  ...statusFields,
+  /** Whether the node accepts callers rather than being on standby. */
   active: Schema.Boolean,
-  /** Told by the holder: models on their way by demand key, and the time until they should be there, ms. */
+  /** Set by the lease holder: models being loaded by demand key, with the time until they should be available, ms. */
   coming: Schema.optionalKey(Schema.Record(Schema.String, Schema.Number)),
-  /** The store's position of the newest change of quarantined requests that it knows. */
+  /** Store position of the latest quarantine change that the node knows. */
   quarantinePosition: Schema.optionalKey(StorePosition),
-  /** What it has learned of models' paces: pace and observations by kind. */
+  /** Prefill factors it has measured: factor and number of observations by model kind. */
   paces: Schema.optionalKey(Schema.Record(Schema.String, Schema.Tuple([Schema.Number, Schema.Number]))),
-  /** Only told to the holder of the placement lease, as nobody else uses it. */
+  /** Only sent to the holder of the placement lease, as no other node uses it. */
   asked: Schema.optionalKey(CallerDemand),
 });
-/** A decoded pulse. */
+/** A decoded heartbeat. */
 export type Heartbeat = typeof Heartbeat.Type;
 
-/** The active nodes as one node knows them, for a node that stands by. */
+/** The active nodes as one node knows them, sent to standby nodes. */
 export const Roster = Schema.Struct({
-  /** The node that tells. */
+  /** The sender. */
   host: Schema.String,
   boot: Schema.Number,
   ip: Schema.String,
   port: Schema.Number,
-  /** Of its configuration. */
+  /** Version of its configuration. */
   version: Schema.Number,
-  /** Of the newest change of which servers there are. */
+  /** Revision of the latest change of the set of servers. */
   fleetRevision: Schema.Number,
-  /** The store's position of the newest change of quarantined requests that it knows. */
+  /** Store position of the latest quarantine change that the sender knows. */
   quarantinePosition: Schema.optionalKey(StorePosition),
-  /** The newest era of the store that it knows. */
+  /** The latest era of the store that the sender knows. */
   storeEra: Schema.optionalKey(Schema.Number),
-  /** Time since any active node read the store, as far as is known, ms. */
+  /** Time since any active node read the store, as far as the sender knows, ms. */
   readAgeMs: Schema.optionalKey(Schema.Number),
-  /** Changes with the entries. */
+  /** Changes whenever the entries do. */
   digest: Schema.String,
-  /** Each with the time since it was heard, ms; absent if the asking node has them already. */
+  /** Each with the time since its last heartbeat, ms; absent if the receiver already has the same entries. */
   entries: Schema.optionalKey(
     Schema.Array(Schema.Struct({ standing: RosterNodeStatus, ageMs: Schema.Number })),
   ),
@@ -107,32 +107,32 @@
 /** A decoded roster. */
 export type Roster = typeof Roster.Type;
 
-/** Not heard from for this long a node counts as dead, ms: five periods, as datagrams may be lost. */
-const silentMs = 1_600;
+/** A node counts as dead if no heartbeat was received for this long, ms: five periods, as datagrams may be lost. */
+const peerTimeoutMs = 1_600;
 /**
- * The same for nodes that another one tells of, ms: it is asked less often than it hears them, and tells by itself when
- * one falls silent.
+ * The same for nodes in the roster of another node, ms: rosters are polled less often than heartbeats are sent, and
+ * the other node broadcasts by itself when a peer times out.
  */
-const untoldMs = 4_500;
-/** Dead nodes are still spoken to for this long, ms, so that a cut that heals is noticed on both sides. */
-const forgetMs = 60_000;
+const rosterPeerTimeoutMs = 4_500;
+/** Heartbeats are still sent to dead nodes for this long, ms, so that both sides notice when a partition heals. */
+const forgetPeerMs = 60_000;
 
-/** Part of a bound over all nodes that those that stand by share. */
-const standbyPart = 0.1;
+/** Ratio of a fleet-wide limit that the standby nodes share. */
+const standbyBudgetRatio = 0.1;
 
-/** A peer as last heard. */
+/** Last known status of a peer. */
 export interface Peer {
   readonly status: NodeStatus;
   readonly lastHeardMs: number;
 }
 
-/** Where a peer listens. */
+/** Address of a peer. */
 export interface PeerAddress {
   readonly ip: string;
   readonly port: number;
 }
 
-/** A node as the store's list names it. */
+/** A node as listed in the store. */
 export const Member = Schema.Struct({
   ip: Schema.String,
   port: Schema.Number,
@@ -145,154 +145,157 @@
 /** The peers known to this node. */
 export class PeerTable {
   private readonly peers = new Map<string, Peer>();
-  /** Whom each node that told of active ones named last. */
+  /** IPs in the latest roster, by the node that sent it. */
   private readonly rosters = new Map<string, ReadonlySet<string>>();
-  /** Listed in the store, dead or alive. */
+  /** Nodes listed in the store, alive or dead. */
   private readonly nodes = new Map<string, Member>();
-  /** Spoken to though they may never have been heard: seeds, and listed nodes that are likely active. */
-  private readonly sought = new Map<string, { address: PeerAddress; sinceMs: number }>();
+  /**
+   * Addresses to contact though nothing may ever have been received from them: seeds, and listed nodes that are
+   * likely active.
+   */
+  private readonly contacts = new Map<string, { address: PeerAddress; sinceMs: number }>();
 
   constructor(private readonly self: Candidate) {}
 
-  /** Takes a pulse; false if it is older than what is known. */
-  recordHeartbeat(pulse: Heartbeat, nowMs: number): boolean {
-    if (this.isFromBefore(pulse, nowMs)) return false;
-    if (pulse.active) this.peers.set(pulse.ip, { status: pulse, lastHeardMs: nowMs });
-    else this.peers.delete(pulse.ip);
+  /** Records a heartbeat; false if it is older than the known one. */
+  recordHeartbeat(heartbeat: Heartbeat, nowMs: number): boolean {
+    if (this.isStale(heartbeat, nowMs)) return false;
+    if (heartbeat.active) this.peers.set(heartbeat.ip, { status: heartbeat, lastHeardMs: nowMs });
+    else this.peers.delete(heartbeat.ip);
     return true;
   }
 
-  /** Takes the active nodes as `teller` hears them. */
-  applyRoster(teller: string, entries: readonly Peer[]): void {
-    const named = new Set(entries.map(({ status: pulse }) => pulse.ip));
-    // One that it doesn't hear any more is dead, though its last word from here is younger.
-    for (const ip of this.rosters.get(teller) ?? []) if (!named.has(ip)) this.peers.delete(ip);
-    this.rosters.set(teller, named);
+  /** Applies the list of active nodes known to `source`. */
+  applyRoster(source: string, entries: readonly Peer[]): void {
+    const listedIps = new Set(entries.map(({ status }) => status.ip));
+    // A node that is missing from the new roster is dead, even if this node's last record of it is more recent.
+    for (const ip of this.rosters.get(source) ?? []) if (!listedIps.has(ip)) this.peers.delete(ip);
+    this.rosters.set(source, listedIps);
     for (const entry of entries) {
       const known = this.peers.get(entry.status.ip);
-      if (entry.status.ip === this.self.ip || this.isFromBefore(entry.status, entry.lastHeardMs)) continue;
+      if (entry.status.ip === this.self.ip || this.isStale(entry.status, entry.lastHeardMs)) continue;
       if ((known?.lastHeardMs ?? Number.NEGATIVE_INFINITY) < entry.lastHeardMs)
         this.peers.set(entry.status.ip, entry);
     }
   }
 
-  /** The teller hears the same nodes as when it told last. */
-  confirmRoster(teller: string, nowMs: number): void {
-    for (const ip of this.rosters.get(teller) ?? []) {
+  /** The roster of `source` hasn't changed: refreshes its entries. */
+  confirmRoster(source: string, nowMs: number): void {
+    for (const ip of this.rosters.get(source) ?? []) {
       const known = this.peers.get(ip);
       if (known !== undefined)
         this.peers.set(ip, { ...known, lastHeardMs: Math.max(known.lastHeardMs, nowMs) });
     }
   }
 
-  /** Learns of a node that may be active. */
+  /** Adds the address of a node that may be active. */
   addContact(address: PeerAddress, nowMs: number): void {
     if (address.ip === this.self.ip) return;
-    this.sought.set(address.ip, { address: { ip: address.ip, port: address.port }, sinceMs: nowMs });
+    this.contacts.set(address.ip, { address: { ip: address.ip, port: address.port }, sinceMs: nowMs });
   }
 
-  /** Learns all nodes that the store lists. */
+  /** Adds the nodes listed in the store. */
   addListedNodes(nodes: readonly Member[], nowMs: number): void {
     for (const node of nodes) this.nodes.set(node.ip, node);
     const likely = new Set(likelyActive(this.self, this.knownNodes).map((node) => node.ip));
     for (const node of nodes) if (likely.has(node.ip)) this.addContact(node, nowMs);
   }
 
-  /** Learns of a node that lives. */
+  /** Adds a node that is known to be alive. */
   addLiveNode(node: Member): void {
     this.nodes.set(node.ip, node);
   }
 
-  /** Nodes that may exist: listed ones, those heard of, and this one. */
+  /** Nodes that may exist: listed ones, peers, and this one. */
   get knownNodes(): readonly Candidate[] {
-    return [...new Map<string, Candidate>([...this.others(), [this.self.ip, this.self]]).values()];
+    return [...new Map<string, Candidate>([...this.otherNodes(), [this.self.ip, this.self]]).values()];
   }
 
-  /** The same as rows of the store's list. */
+  /** The known nodes as rows for the store. */
   memberRows(self: Member): Member[] {
-    return [...new Map([...this.others(), [self.ip, self]]).values()];
+    return [...new Map([...this.otherNodes(), [self.ip, self]]).values()];
   }
 
-  /** Active nodes heard from lately. */
+  /** Active nodes from which a heartbeat was received recently. */
   alive(nowMs: number): Peer[] {
-    return [...this.peers.values()].filter(({ status: pulse, lastHeardMs: heardMs }) => {
-      const ageMs = nowMs - heardMs;
-      return ageMs < silentMs || (ageMs < untoldMs && this.isTold(pulse.ip));
+    return [...this.peers.values()].filter(({ status, lastHeardMs }) => {
+      const ageMs = nowMs - lastHeardMs;
+      return ageMs < peerTimeoutMs || (ageMs < rosterPeerTimeoutMs && this.isInRoster(status.ip));
     });
   }
 
-  /** The same, as membership decides by them. */
+  /** The live peers as input for activation decisions. */
   active(nowMs: number): ActiveNode[] {
-    return this.alive(nowMs).map(({ status: pulse }) => pulse);
+    return this.alive(nowMs).map(({ status }) => status);
   }
 
   /**
-   * The nodes that share bounds over all nodes with this one. Nodes that stand by share a small part among themselves:
-   * there may be many of them, and hardly any request comes to one.
+   * This node's share of fleet-wide limits. Standby nodes share a small ratio among themselves: there may be many of
+   * them, and they receive hardly any requests.
    */
   budgetShare(active: boolean, nowMs: number): BudgetShare {
-    const alive = new Set(this.alive(nowMs).map(({ status: pulse }) => pulse.ip));
-    const { knownNodes: listed } = this;
-    const part = isSmallFleet(listed) ? 1 : active ? 1 - standbyPart : standbyPart;
-    const nodes = active ? [...alive] : listed.map(({ ip }) => ip).filter((ip) => !alive.has(ip));
+    const alive = new Set(this.alive(nowMs).map(({ status }) => status.ip));
+    const { knownNodes } = this;
+    const fraction = isSmallFleet(knownNodes) ? 1 : active ? 1 - standbyBudgetRatio : standbyBudgetRatio;
+    const nodes = active ? [...alive] : knownNodes.map(({ ip }) => ip).filter((ip) => !alive.has(ip));
     const others = nodes.filter((ip) => ip !== this.self.ip);
     return {
       count: others.length + 1,
       rank: others.filter((ip) => ip < this.self.ip).length,
-      fraction: part,
+      fraction,
     };
   }
 
-  /** A node didn't answer: it counts as dead until it is heard of again. */
+  /** A node didn't answer: it counts as dead until its status is received again. */
   markDead(ip: string): void {
     this.peers.delete(ip);
     this.rosters.delete(ip);
   }
 
-  /** This node is active and hears the others itself from now on. */
+  /** This node is active: from now on it receives heartbeats itself and doesn't rely on rosters. */
   clearRosters(): void {
     this.rosters.clear();
   }
 
-  /** The node that answers for the key: a ready one among those alive, or this one if it `mayOwn` or knows of none. */
+  /** The node responsible for the key: a ready one among live peers, or this one if it `mayOwn` or knows no other. */
   owner(key: string, self: PeerAddress, mayOwn: boolean, nowMs: number): PeerAddress {
-    const ready = this.alive(nowMs).filter(({ status: pulse }) => pulse.ready);
-    const nodes = new Map<string, PeerAddress>(ready.map(({ status: pulse }) => [pulse.ip, pulse]));
+    const ready = this.alive(nowMs).filter(({ status }) => status.ready);
+    const nodes = new Map<string, PeerAddress>(ready.map(({ status }) => [status.ip, status]));
     if (mayOwn) nodes.set(self.ip, self);
     return nodes.get(ownerOf(key, [...nodes.keys()]) ?? "") ?? self;
   }
 
-  /** Addresses to tell of this node: alive ones, and at times those that may come back. */
+  /** Addresses to send heartbeats to: live peers, and with `everyone` also nodes that may come back. */
   recipients(nowMs: number, everyone: boolean): PeerAddress[] {
     const addresses = new Map<string, PeerAddress>();
     for (const peer of this.alive(nowMs)) addresses.set(peer.status.ip, peer.status);
     if (!everyone) return [...addresses.values()];
     for (const peer of this.peers.values()) {
-      if (nowMs - peer.lastHeardMs < forgetMs) addresses.set(peer.status.ip, peer.status);
+      if (nowMs - peer.lastHeardMs < forgetPeerMs) addresses.set(peer.status.ip, peer.status);
     }
-    for (const { address, sinceMs } of this.sought.values()) {
-      if (nowMs - sinceMs < forgetMs) addresses.set(address.ip, address);
+    for (const { address, sinceMs } of this.contacts.values()) {
+      if (nowMs - sinceMs < forgetPeerMs) addresses.set(address.ip, address);
     }
-    // Guards "a node that was cut off for long never finds the others again": it has forgotten them all.
-    if (addresses.size === 0) return [...this.sought.values()].map(({ address }) => address);
+    // Without this, a node that was partitioned for long would have forgotten all peers and never find them again.
+    if (addresses.size === 0) return [...this.contacts.values()].map(({ address }) => address);
     return [...addresses.values()];
   }
 
-  /** Active nodes that one that stands by asks, best first: those of its zone, spread evenly over them. */
+  /** Active nodes that a standby node polls, best first: those of its zone first, spread evenly over them. */
   rosterSources(nowMs: number): PeerAddress[] {
-    const rank = ({ status: pulse }: Peer): string =>
-      `${pulse.zone === this.self.zone ? 0 : 1} ${digestOf([this.self.ip, pulse.ip])}`;
+    const rank = ({ status }: Peer): string =>
+      `${status.zone === this.self.zone ? 0 : 1} ${digestOf([this.self.ip, status.ip])}`;
     return this.alive(nowMs)
       .map((peer) => ({ peer, rank: rank(peer) }))
       .sort((a, b) => (a.rank < b.rank ? -1 : 1))
       .map(({ peer }) => peer.status);
   }
 
-  /** Identifies who is active and how they stand, without what changes all the time. */
+  /** Hash of the set of active nodes and their status, without fields that change all the time. */
   digest(nowMs: number): string {
-    const entries = this.alive(nowMs).map(({ status: pulse }) => {
-      const { ip, boot, ready, token } = pulse;
-      return `${ip} ${boot} ${String(ready)} ${String(isFull(pulse))} ${token ?? ""}`;
+    const entries = this.alive(nowMs).map(({ status }) => {
+      const { ip, boot, ready, token } = status;
+      return `${ip} ${boot} ${String(ready)} ${String(isSaturated(status))} ${token ?? ""}`;
     });
     return digestOf(entries.sort());
   }
@@ -300,31 +303,32 @@
   /** The holder of the placement lease among live peers: the newest token wins. */
   leaseHolder(nowMs: number): NodeStatus | undefined {
     let found: NodeStatus | undefined;
-    for (const { status: pulse } of this.alive(nowMs)) {
-      if (pulse.token === undefined) continue;
-      if (found?.token === undefined || pulse.token > found.token) found = pulse;
+    for (const { status } of this.alive(nowMs)) {
+      if (status.token === undefined) continue;
+      if (found?.token === undefined || status.token > found.token) found = status;
     }
     return found;
   }
 
-  /** Does another node tell of it? */
-  private isTold(ip: string): boolean {
-    return [...this.rosters.values()].some((named) => named.has(ip));
+  /** Whether the node is in the roster of another node. */
+  private isInRoster(ip: string): boolean {
+    return [...this.rosters.values()].some((listedIps) => listedIps.has(ip));
   }
 
-  /** Listed nodes and those heard of. */
-  private others(): [string, Member][] {
-    const heard = [...this.peers.values()].map(({ status: pulse }): [string, Member] => [pulse.ip, pulse]);
-    return [...heard, ...this.nodes];
+  /** Listed nodes and peers. */
+  private otherNodes(): [string, Member][] {
+    const heardFrom = [...this.peers.values()].map(({ status }): [string, Member] => [status.ip, status]);
+    return [...heardFrom, ...this.nodes];
   }
 
   /**
-   * Is the word older than a restart of its node that is known? Guards "a restarted node is taken for dead": its time of
-   * day may have been set back, so a later start looks like an earlier one. Its earlier life is silent by then.
+   * Whether the status is from before a known restart of its node. If the wall clock was set back, a later start has
+   * a lower boot number; the status is still accepted once the earlier process has timed out, or the restarted node
+   * would count as dead.
    */
-  private isFromBefore({ ip, boot }: NodeStatus, nowMs: number): boolean {
+  private isStale({ ip, boot }: NodeStatus, nowMs: number): boolean {
     const known = this.peers.get(ip);
-    return known !== undefined && known.status.boot > boot && nowMs - known.lastHeardMs < silentMs;
+    return known !== undefined && known.status.boot > boot && nowMs - known.lastHeardMs < peerTimeoutMs;
   }
 }
 
--- a/src/serving/overload.ts
+++ b/src/serving/overload.ts
@@ -1,67 +1,68 @@
 /**
- * Decides whether this node has more to do than its processor time allows, and which requests it then sheds. Without it
- * all requests are served late, most of them for callers that have left, and the work on them makes the next ones later.
+ * Detects that this node has more work than its CPU time allows, and decides which requests to shed then. Otherwise
+ * all requests would be served late, most of them for callers that have disconnected, and the work on them would
+ * delay the next ones further.
  */
 
-/** A turn of the event loop that takes longer than this is a long one, ms: requests wait for two of them at least. */
-const longTurnMs = 50;
-/** Time constant of the mean over turns, ms. */
+/** Event-loop iterations longer than this are long, ms: a request waits for at least two iterations. */
+const longIterationMs = 50;
+/** Time constant of the moving average over iterations, ms. */
 const windowMs = 500;
-/** A single turn counts as this much time at most, ms: one stall is no overload. */
-const longestStepMs = 250;
-/** The node is overloaded from this part of its time spent in long turns, and recovered below the other. */
-const overloadedPart = 0.8;
-const recoveredPart = 0.3;
-/** Requests are shed from this part of their caller's patience on, and not below an age that says nothing, ms. */
-const patiencePart = 0.3;
-const vagueAgeMs = 60;
-/** The same as a part of the route's target while the node is overloaded, and at least this, ms. */
-const targetPart = 0.5;
-const leastAgeMs = 100;
+/** A single iteration is weighted by at most this time, ms: one stall is no overload. */
+const maxStepMs = 250;
+/**
+ * The node becomes overloaded above the first ratio of time spent in long iterations, and recovers below the second.
+ */
+const overloadEnterRatio = 0.8;
+const overloadExitRatio = 0.3;
+/**
+ * Requests older than this ratio of their caller's timeout are shed, but none below the minimum age, ms, which is too
+ * low to mean anything.
+ */
+const shedTimeoutRatio = 0.3;
+const minShedAgeMs = 60;
+/** While the node is overloaded: the same as a ratio of the route's target, and the minimum age, ms. */
+const targetRatio = 0.5;
+const overloadAgeMs = 100;
 
-/** Follows the turns of the event loop. */
+/** Tracks the duration of event-loop iterations. */
 export class OverloadDetector {
-  private longPart = 0;
+  private longIterationRatio = 0;
   private lastMs: number | undefined;
   private isOverloaded = false;
 
-  /** Does the node have more to do than it can? */
+  /** Whether the node has more work than it can do. */
   get overloaded(): boolean {
     return this.isOverloaded;
   }
 
-  /** Takes a turn that ended at `nowMs`; true if the state changed. */
+  /** Records an iteration that ended at `nowMs`; returns whether the state changed. */
   recordTurn(tookMs: number, nowMs: number): boolean {
-    const stepMs = Math.min(longestStepMs, nowMs - (this.lastMs ?? nowMs));
+    const stepMs = Math.min(maxStepMs, nowMs - (this.lastMs ?? nowMs));
     this.lastMs = nowMs;
-    const long = tookMs > longTurnMs ? 1 : 0;
-    this.longPart += (long - this.longPart) * (1 - Math.exp(-stepMs / windowMs));
+    const long = tookMs > longIterationMs ? 1 : 0;
+    this.longIterationRatio += (long - this.longIterationRatio) * (1 - Math.exp(-stepMs / windowMs));
     const before = this.isOverloaded;
-    this.isOverloaded = this.longPart > (before ? recoveredPart : overloadedPart);
+    this.isOverloaded = this.longIterationRatio > (before ? overloadExitRatio : overloadEnterRatio);
     return before !== this.isOverloaded;
   }
 }
 
-/** What decides whether a request is shed. */
+/** What the shedding decision is based on. */
 export interface SheddingView {
-  /** For how long the request may have been waiting, ms. */
+  /** How long the request may have been waiting, ms. */
   readonly ageMs: number;
-  /** How long its caller waits for a first byte, ms. */
+  /** How long the caller waits for the first byte, ms. */
   readonly callerTimeoutMs: number;
   readonly targetMs: number;
   readonly overloaded: boolean;
 }
 
 /**
- * Is the request too old to begin? While the node is overloaded those that can still be answered in time go first, and
- * what is begun in one turn is bounded by their age.
+ * Whether the request is too old to start. An overloaded node gives priority to requests that can still be served in
+ * time; the age limit also bounds what is started in one event-loop iteration.
  */
-export function shouldShed({
-  ageMs,
-  callerTimeoutMs: patienceMs,
-  targetMs,
-  overloaded,
-}: SheddingView): boolean {
-  const limitMs = Math.max(vagueAgeMs, patiencePart * patienceMs);
-  return ageMs > (overloaded ? Math.min(limitMs, Math.max(leastAgeMs, targetPart * targetMs)) : limitMs);
+export function shouldShed({ ageMs, callerTimeoutMs, targetMs, overloaded }: SheddingView): boolean {
+  const limitMs = Math.max(minShedAgeMs, shedTimeoutRatio * callerTimeoutMs);
+  return ageMs > (overloaded ? Math.min(limitMs, Math.max(overloadAgeMs, targetRatio * targetMs)) : limitMs);
 }
--- a/src/serving/permits/permits.ts
+++ b/src/serving/permits/permits.ts
@@ -1,52 +1,52 @@
-/** The permits of this node to send to backend servers that name a rate limit, and the requests that wait for one. */
+/** This node's permits to send to backend servers that state a rate limit, and the requests that wait for one. */
 import { Emitter } from "../../common/emitter.ts";
 import type { Disposable } from "../../common/disposables.ts";
 import { incarnationOf } from "../backendServer.ts";
 import type { Incarnation, ServerNotices } from "../serverNotices.ts";
-import { leastPerS, type PermitRequest } from "./permitIssuer.ts";
+import { minRatePerS, type PermitRequest } from "./permitIssuer.ts";
 
-/** A permit is used within this time or not at all, ms: unused ones must not add up to a burst. */
-const permitMs = 1_000;
-/** A request sent elsewhere makes a spare permit wanted for this long, ms. */
-const spareMs = 300;
-/** The issuer's word on the backlog is used for this long, ms. */
-const backlogMs = 1_000;
+/** A permit expires after this time, ms: unused permits must not add up to a burst. */
+const permitTtlMs = 1_000;
+/** A request sent elsewhere makes a spare permit useful for this long, ms. */
+const spareRequestTtlMs = 300;
+/** The backlog reported by the issuer is used for this long, ms. */
+const backlogTtlMs = 1_000;
 
 interface ServerPermits {
-  /** When each permit in hand expires, ms, in order. */
-  expireMs: number[];
-  /** When each request that waits began to, ms. */
+  /** When each unused permit expires, ms, in order. */
+  expiresAtMs: number[];
+  /** When each waiting request started to wait, ms. */
   readonly waiting: Set<{ readonly sinceMs: number }>;
   spareUntilMs: number;
-  /** The issuer was told last that a permit is wanted. */
-  toldWanted: boolean;
-  /** Requests that waited on all nodes, and when the issuer said so, ms. */
+  /** The last report to the issuer requested a permit. */
+  requestReported: boolean;
+  /** Requests that waited on all nodes, and when the issuer reported them, ms. */
   backlog: { readonly requests: number; readonly atMs: number } | undefined;
 }
 
 /** Permits by server. */
 export class Permits {
-  /** What this node wants has changed. */
+  /** The permits that this node needs have changed. */
   readonly demandChanged = new Emitter<undefined>();
   private readonly servers = new Map<string, ServerPermits>();
 
   constructor(private readonly notices: ServerNotices) {}
 
-  /** May a request be sent to the server now? */
+  /** Whether a request may be sent to the server now. */
   admits(server: Incarnation, nowMs: number): boolean {
-    return this.notices.limitPerS(server) === undefined || this.inHand(incarnationOf(server), nowMs) > 0;
+    return this.notices.limitPerS(server) === undefined || this.available(incarnationOf(server), nowMs) > 0;
   }
 
-  /** A request is sent: uses a permit up where the server names a limit. */
+  /** Uses up a permit for a request that is being sent, if the server has a rate limit. */
   consume(server: Incarnation): void {
     if (this.notices.limitPerS(server) !== undefined)
-      this.servers.get(incarnationOf(server))?.expireMs.shift();
+      this.servers.get(incarnationOf(server))?.expiresAtMs.shift();
   }
 
   /** Counts a request as waiting for a permit of any of the servers, until disposed. */
   wait(servers: readonly Incarnation[], sinceMs: number): Disposable {
     const waiter = { sinceMs };
-    const waitedFor = servers.map((server) => this.of(incarnationOf(server)).waiting);
+    const waitedFor = servers.map((server) => this.permitsOf(incarnationOf(server)).waiting);
     for (const waiting of waitedFor) waiting.add(waiter);
     this.demandChanged.fire(undefined);
     return {
@@ -60,66 +60,66 @@
   /** A request was sent elsewhere that these servers could have served. */
   requestSpare(servers: readonly Incarnation[], nowMs: number): void {
     for (const server of servers) {
-      const permits = this.of(incarnationOf(server));
-      permits.spareUntilMs = nowMs + spareMs;
-      if (!permits.toldWanted) this.demandChanged.fire(undefined);
+      const permits = this.permitsOf(incarnationOf(server));
+      permits.spareUntilMs = nowMs + spareRequestTtlMs;
+      if (!permits.requestReported) this.demandChanged.fire(undefined);
     }
   }
 
-  /** What to ask of the issuers now. */
+  /** The permit requests to send to the issuers now. */
   collectRequests(nowMs: number): PermitRequest[] {
     return [...this.servers].flatMap(([server, permits]) => {
       const limit = this.notices.observedLimit(server, nowMs);
-      const inHand = this.inHand(server, nowMs);
-      const waiting = Math.max(0, permits.waiting.size - inHand);
-      const spare = inHand === 0 && permits.spareUntilMs > nowMs;
+      const available = this.available(server, nowMs);
+      const waiting = Math.max(0, permits.waiting.size - available);
+      const spare = available === 0 && permits.spareUntilMs > nowMs;
       const isWanted = waiting > 0 || spare;
-      // That none is wanted any more is told too: the issuer would give one to a request that has left.
-      const isNews = isWanted || permits.toldWanted;
-      permits.toldWanted = isWanted;
-      if (limit?.perS === undefined || !isNews) return [];
+      // The issuer is also told that no permit is needed any more, or it would grant one for a request that is gone.
+      const mustReport = isWanted || permits.requestReported;
+      permits.requestReported = isWanted;
+      if (limit?.perS === undefined || !mustReport) return [];
       const sinceMs = Math.min(nowMs, ...[...permits.waiting].map((waiter) => waiter.sinceMs));
       return [{ server, limit, waiting, waitedMs: Math.round(nowMs - sinceMs), spare }];
     });
   }
 
-  /** Takes permits for the server, and the requests that wait for it on all nodes. */
+  /** Adds granted permits of the server, and the number of requests that wait for it on all nodes. */
   addGranted(server: string, permits: number, backlog: number, nowMs: number): void {
-    const known = this.of(server);
-    for (let i = 0; i < permits; i += 1) known.expireMs.push(nowMs + permitMs);
+    const known = this.permitsOf(server);
+    for (let i = 0; i < permits; i += 1) known.expiresAtMs.push(nowMs + permitTtlMs);
     known.backlog = { requests: backlog, atMs: nowMs };
   }
 
-  /** Until a request that begins to wait now is permitted to go to the server, ms, as far as is known. */
+  /** Estimated time until a request that starts to wait now gets a permit of the server, ms. */
   expectedWaitMs(server: Incarnation, nowMs: number): number {
     const perS = this.notices.limitPerS(server);
     if (perS === undefined) return 0;
     const permits = this.servers.get(incarnationOf(server));
-    const isFresh = permits?.backlog !== undefined && nowMs - permits.backlog.atMs < backlogMs;
+    const isFresh = permits?.backlog !== undefined && nowMs - permits.backlog.atMs < backlogTtlMs;
     const ahead = Math.max(permits?.waiting.size ?? 0, isFresh ? (permits.backlog?.requests ?? 0) : 0);
-    return (ahead / Math.max(leastPerS, perS)) * 1000;
+    return (ahead / Math.max(minRatePerS, perS)) * 1000;
   }
 
-  /** Drops what is kept of servers that are gone. */
+  /** Drops the state of servers that are gone. */
   retain(servers: ReadonlySet<string>): void {
     for (const server of this.servers.keys()) if (!servers.has(server)) this.servers.delete(server);
   }
 
-  private inHand(server: string, nowMs: number): number {
+  private available(server: string, nowMs: number): number {
     const permits = this.servers.get(server);
     if (permits === undefined) return 0;
-    while ((permits.expireMs[0] ?? Number.POSITIVE_INFINITY) <= nowMs) permits.expireMs.shift();
-    return permits.expireMs.length;
+    while ((permits.expiresAtMs[0] ?? Number.POSITIVE_INFINITY) <= nowMs) permits.expiresAtMs.shift();
+    return permits.expiresAtMs.length;
   }
 
-  private of(server: string): ServerPermits {
+  private permitsOf(server: string): ServerPermits {
     const known = this.servers.get(server);
     if (known !== undefined) return known;
     const permits: ServerPermits = {
-      expireMs: [],
+      expiresAtMs: [],
       waiting: new Set(),
       spareUntilMs: Number.NEGATIVE_INFINITY,
-      toldWanted: false,
+      requestReported: false,
       backlog: undefined,
     };
     this.servers.set(server, permits);
--- a/src/serving/quarantine/fingerprint.ts
+++ b/src/serving/quarantine/fingerprint.ts
@@ -1,10 +1,10 @@
 /**
- * Identifies requests that ask the same, whoever sends them, when, and to which node. Callers' repeats of a request have
- * an id of their own each, so ids don't tell that it is the same one again.
+ * Identifies requests by their content, whoever sends them, when, and to which node. Request ids don't serve for
+ * this, as each retry by the caller has a new one.
  */
 import * as crypto from "node:crypto";
 
-/** What a server works on. */
+/** The part of a request that determines what a server does. */
 export interface RequestContent {
   readonly method: string;
   /** Lower case. */
@@ -15,8 +15,8 @@
 }
 
 /**
- * The identity of a request's content, 22 characters. Headers are left out: they tell of one attempt (its id, the time
- * left, the event after which a stream goes on) or how to run it, and differ between repeats.
+ * Hash of a request's content, 22 characters. Headers are left out: they describe one attempt (its id, the remaining
+ * time, the event after which to resume a stream) or how to run it, and differ between retries.
  */
 export function fingerprintOf({ method, host, target, body }: RequestContent): string {
   const hash = crypto.createHash("sha256").update(`${method} ${host} ${target}\n`);
--- a/src/serving/quarantine/quarantine.ts
+++ b/src/serving/quarantine/quarantine.ts
@@ -1,232 +1,247 @@
 /**
- * Quarantines poison requests: requests that crash every server that runs them. Their callers send them again with a new id
- * and to whichever node, so nodes tell each other what was running when a server crashed, and a request that was there three
- * times is refused by all.
+ * Quarantines poison requests: requests that crash every server that runs them. Their callers retry them with a new
+ * id and on any node, so nodes notify each other of what was running when a server crashed, and all of them refuse a
+ * request that was running in three crashes.
  *
- * Not counted against a request: crashes while it completes elsewhere, cut connections of servers that live, and servers that
- * were draining.
+ * Not counted against a request: crashes while it completes elsewhere, lost connections of servers that are alive,
+ * and servers that were draining.
  */
 import * as Schema from "effect/Schema";
 import { Emitter } from "../../common/emitter.ts";
-import { Holds, type Hold } from "./quarantineList.ts";
+import { QuarantineList, type QuarantineEntry } from "./quarantineList.ts";
 import type { StorePosition } from "../storePosition.ts";
 import { RecentSuccesses } from "./recentSuccesses.ts";
 import { Suspects } from "./suspects.ts";
 
 /**
- * Servers that may end under a request before it is held back. A request that happens to run beside the cause is sent on
- * to another server and may meet the cause there again; to be there a third time is hardly chance.
+ * Number of servers that may crash while running a request before it is quarantined. A request that happens to run
+ * beside the cause is retried on another server and may meet the cause there again; a third time is hardly a
+ * coincidence.
  */
-const mostEnded = 3;
-/** From so many on the next end holds it back, also where that node never heard of those before. */
-const watchedFrom = 2;
-/** A process that ended is back after this time at the earliest, ms; whoever answers sooner has not ended. */
-const restartMs = 1_000;
-
-const HeldFor = Schema.Struct({
-  /** Until the request is let through, ms; below 0 for as long as the hold has been over. */
+const maxCrashes = 3;
+/**
+ * From this number of crashes on, the next one quarantines the request, even on a node that doesn't know of the
+ * earlier ones.
+ */
+const watchedFromCrashes = 2;
+/** A crashed process takes at least this long to restart, ms; a server that responds sooner didn't crash. */
+const minRestartMs = 1_000;
+
+const QuarantineDuration = Schema.Struct({
+  /** Remaining time in quarantine, ms; negative once it is over, by the time since then. */
   leftMs: Schema.Number,
-  /** How long it is held in all, ms. */
+  /** Total time in quarantine, ms. */
   forMs: Schema.Number,
 });
 
-/** What one node learned, for the others. Hearing it twice changes nothing. */
+/** Observations of one node, sent to the others. Applying it twice has no further effect. */
 export const QuarantineUpdate = Schema.Struct({
-  /** Fingerprints of requests that were cut, by the incarnation that ended. */
+  /** Fingerprints of requests whose connection was lost, by the incarnation that seems to have crashed. */
   cuts: Schema.Record(Schema.String, Schema.Array(Schema.String)),
-  /** Requests that a server ran to their end. */
+  /** Requests that a server completed. */
   survived: Schema.Array(Schema.String),
-  /** Incarnations that live though a request was cut there. */
+  /** Incarnations that are alive though a connection was lost there. */
   alive: Schema.Array(Schema.String),
-  /** Requests held back since, by fingerprint. */
-  held: Schema.Record(Schema.String, HeldFor),
+  /** Requests quarantined since the last update, by fingerprint. */
+  held: Schema.Record(Schema.String, QuarantineDuration),
 });
-/** Decoded news. */
+/** A decoded update. */
 export type QuarantineUpdate = typeof QuarantineUpdate.Type;
 
-/** A request is held back from now on, let through again, or forgotten after that. */
+/** A request was quarantined, released from quarantine, or forgotten after its release. */
 export interface QuarantineChange {
   readonly fingerprint: string;
   readonly kind: "held" | "released" | "forgotten";
-  /** This node decided it, rather than heard of it. */
+  /** This node decided it, rather than another one. */
   readonly own: boolean;
-  /** The store's row that it had, if any. */
+  /** Position of its row in the store, if it had one. */
   readonly row: StorePosition | undefined;
 }
 
-/** What a node knows of requests under which servers end. */
+/** A node's knowledge of requests that may crash servers. */
 export class Quarantine {
   readonly changed = new Emitter<QuarantineChange>();
-  /** Something was learned: there may be news for the other nodes, and what to drop in time. */
+  /** Something was recorded: there may be an update to send to other nodes, and entries to expire later. */
   readonly updated = new Emitter<undefined>();
-  readonly entries = new Holds();
+  readonly entries = new QuarantineList();
   private readonly suspects = new Suspects();
   private readonly recentSuccesses = new RecentSuccesses();
-  private news = emptyNews();
+  private update = emptyUpdate();
 
-  /** Nothing is known of any request, so none needs to be looked at. */
+  /** Whether nothing is known of any request, so that no request needs to be checked. */
   get isEmpty(): boolean {
     return this.suspects.size === 0 && this.entries.size === 0;
   }
 
-  /** Did a server end under the request, and was it served by none since? */
+  /** Whether a server crashed while running the request, and none has completed it since. */
   isSuspected(fingerprint: string, nowMs: number): boolean {
     const isKnown = this.suspects.has(fingerprint) || this.entries.has(fingerprint);
     return isKnown && !this.recentSuccesses.has(fingerprint, nowMs);
   }
 
-  /** Time until the request may be sent, ms; 0 if it may now. */
+  /** Time until the request may be sent, ms; 0 if it may be sent now. */
   remainingMs(fingerprint: string, nowMs: number): number {
-    return this.entries.leftMs(fingerprint, nowMs);
+    return this.entries.remainingMs(fingerprint, nowMs);
   }
 
-  /** The connection to the incarnation of a server ended while it ran the request. */
+  /** The connection to the server's incarnation was lost while it ran the request. */
   recordConnectionLoss(fingerprint: string, incarnation: string, nowMs: number): void {
     if (this.recentSuccesses.has(fingerprint, nowMs)) return;
-    const { cuts } = this.news;
+    const { cuts } = this.update;
     cuts[incarnation] = [...(cuts[incarnation] ?? []), fingerprint];
-    this.count(fingerprint, incarnation, true, nowMs);
+    this.countCrash(fingerprint, incarnation, true, nowMs);
     this.updated.fire(undefined);
   }
 
-  /** A server ran the request to its end: it is no poison. */
+  /** A server completed the request, so it isn't poison. */
   recordSuccess(fingerprint: string, nowMs: number): void {
     this.recentSuccesses.add(fingerprint, nowMs);
     if (!this.suspects.has(fingerprint) && !this.entries.has(fingerprint)) return;
     this.clear(fingerprint, true, nowMs);
-    this.tellSurvived(fingerprint);
+    this.announceSuccess(fingerprint);
   }
 
   /**
-   * The incarnation answered a request sent at `sentMs`. Guards "requests are held back because connections were reset": a
-   * server that answers right after it cut a request has not ended.
+   * The incarnation responded to a request sent at `sentMs`. A server that responds right after a connection loss has
+   * not crashed; without this rule, mere connection resets would quarantine requests.
    */
   recordResponse(incarnation: string, sentMs: number, nowMs: number): void {
-    const endedAtMs = this.suspects.endedAtMs(incarnation);
-    if (endedAtMs === undefined || sentMs <= endedAtMs || nowMs - endedAtMs >= restartMs) return;
+    const crashedAtMs = this.suspects.crashedAtMs(incarnation);
+    if (crashedAtMs === undefined || sentMs <= crashedAtMs || nowMs - crashedAtMs >= minRestartMs) return;
     this.clearCrash(incarnation, true, nowMs);
-    this.news.alive.push(incarnation);
+    this.update.alive.push(incarnation);
     this.updated.fire(undefined);
   }
 
-  /** Takes what another node learned; `decides` says whether it is on this node to save and tell a hold that it leads to. */
-  applyUpdate({ cuts, survived, alive, held }: QuarantineUpdate, decides: boolean, nowMs: number): void {
+  /**
+   * Applies the observations of another node. `ownsDecision` is true if this node has to save and announce a
+   * quarantine that results.
+   */
+  applyUpdate({ cuts, survived, alive, held }: QuarantineUpdate, ownsDecision: boolean, nowMs: number): void {
     for (const fingerprint of survived) this.clear(fingerprint, false, nowMs);
     for (const incarnation of alive) this.clearCrash(incarnation, false, nowMs);
     for (const [incarnation, fingerprints] of Object.entries(cuts))
       for (const fingerprint of fingerprints) {
-        if (this.recentSuccesses.has(fingerprint, nowMs)) this.tellSurvived(fingerprint);
-        else this.count(fingerprint, incarnation, decides, nowMs);
+        if (this.recentSuccesses.has(fingerprint, nowMs)) this.announceSuccess(fingerprint);
+        else this.countCrash(fingerprint, incarnation, ownsDecision, nowMs);
       }
     for (const [fingerprint, { leftMs, forMs }] of Object.entries(held))
       this.applyEntry(fingerprint, { untilMs: nowMs + leftMs, forMs }, undefined, nowMs);
     this.updated.fire(undefined);
   }
 
-  /** What was learned here since the last call; undefined if nothing was. */
+  /** What was recorded here since the last call; undefined if nothing was. */
   takeUpdate(): QuarantineUpdate | undefined {
-    const { news } = this;
-    this.news = emptyNews();
-    return isEmpty(news) ? undefined : news;
+    const { update } = this;
+    this.update = emptyUpdate();
+    return isEmptyUpdate(update) ? undefined : update;
   }
 
-  /** What of the news still counts, to tell it again; undefined if nothing does. */
+  /** The part of the update that still holds, to send it again; undefined if nothing does. */
   stillValid({ cuts, survived, held }: QuarantineUpdate): QuarantineUpdate | undefined {
-    const news = emptyNews();
+    const update = emptyUpdate();
     for (const [incarnation, fingerprints] of Object.entries(cuts)) {
-      const suspected = fingerprints.filter((fingerprint) => this.suspects.isUnder(fingerprint, incarnation));
-      if (suspected.length > 0) news.cuts[incarnation] = suspected;
+      const suspected = fingerprints.filter((fingerprint) =>
+        this.suspects.isSuspectedOf(fingerprint, incarnation),
+      );
+      if (suspected.length > 0) update.cuts[incarnation] = suspected;
     }
-    for (const [fingerprint, hold] of Object.entries(held))
-      if (this.entries.has(fingerprint)) news.held[fingerprint] = hold;
-    // One that was cut again since is suspected anew.
-    news.survived.push(...survived.filter((f) => !this.suspects.has(f) && !this.entries.has(f)));
-    return isEmpty(news) ? undefined : news;
-  }
-
-  /** The store, or a node that read it, has the hold in a row at this position. */
-  applyEntry(fingerprint: string, hold: Hold, row: StorePosition | undefined, nowMs: number): void {
-    // One that was served here lately is held back for ends that had another cause.
+    for (const [fingerprint, entry] of Object.entries(held))
+      if (this.entries.has(fingerprint)) update.held[fingerprint] = entry;
+    // A request whose connection was lost again since is suspected anew.
+    update.survived.push(...survived.filter((f) => !this.suspects.has(f) && !this.entries.has(f)));
+    return isEmptyUpdate(update) ? undefined : update;
+  }
+
+  /** Applies an entry from the store, or from a node that read it, whose row is at this position. */
+  applyEntry(
+    fingerprint: string,
+    entry: QuarantineEntry,
+    row: StorePosition | undefined,
+    nowMs: number,
+  ): void {
+    // A request served here recently was quarantined because of crashes that had another cause.
     if (this.recentSuccesses.has(fingerprint, nowMs)) {
-      this.tellSurvived(fingerprint);
+      this.announceSuccess(fingerprint);
       this.changed.fire({ fingerprint, kind: "forgotten", own: true, row });
       return;
     }
     const before = this.remainingMs(fingerprint, nowMs) > 0;
-    for (const incarnation of hold.ended ?? []) this.suspects.add(fingerprint, incarnation, nowMs);
-    this.entries.learn(fingerprint, hold, row, nowMs);
-    // Ends seen here and those that others' watch names may be three together.
-    if (this.remainingMs(fingerprint, nowMs) === 0 && this.suspects.endsUnder(fingerprint) >= mostEnded)
-      this.hold(fingerprint, true, nowMs);
+    for (const incarnation of entry.ended ?? []) this.suspects.add(fingerprint, incarnation, nowMs);
+    this.entries.merge(fingerprint, entry, row, nowMs);
+    // The crashes seen here and those named in another node's watch entry may add up to the maximum.
+    if (this.remainingMs(fingerprint, nowMs) === 0 && this.suspects.crashCount(fingerprint) >= maxCrashes)
+      this.quarantine(fingerprint, true, nowMs);
     if (!before && this.remainingMs(fingerprint, nowMs) > 0)
       this.changed.fire({ fingerprint, kind: "held", own: false, row: undefined });
   }
 
-  /** The request is let through again: its row is gone, as it was served or an operator removed it. */
+  /** Releases the request: its row is gone, as the request was served or an operator removed the row. */
   remove(fingerprint: string, nowMs: number): void {
     this.clear(fingerprint, false, nowMs);
   }
 
-  /** Drops what is too old to matter; `own` says whether it is on this node to remove it from the store. */
+  /** Drops entries that are too old to matter; `own` is true if this node has to remove them from the store. */
   expire(nowMs: number, own: boolean): void {
     this.suspects.expire(nowMs);
-    for (const fingerprint of this.entries.over(nowMs)) this.clear(fingerprint, own, nowMs);
+    for (const fingerprint of this.entries.lapsed(nowMs)) this.clear(fingerprint, own, nowMs);
   }
 
-  private count(fingerprint: string, incarnation: string, own: boolean, nowMs: number): void {
-    // Other servers were running it already when it was held back: that says nothing new.
+  private countCrash(fingerprint: string, incarnation: string, own: boolean, nowMs: number): void {
+    // Servers that were already running the request when it was quarantined may still crash; that is no new evidence.
     if (this.remainingMs(fingerprint, nowMs) > 0) return;
-    const isNew = !this.suspects.isUnder(fingerprint, incarnation);
-    const ended = this.suspects.add(fingerprint, incarnation, nowMs);
-    if (!isNew) return;
-    if (ended >= mostEnded || this.entries.has(fingerprint)) this.hold(fingerprint, own, nowMs);
-    else if (ended >= watchedFrom)
-      this.entries.watch(fingerprint, this.suspects.endedUnder(fingerprint), own, nowMs);
+    const isNewCrash = !this.suspects.isSuspectedOf(fingerprint, incarnation);
+    const crashes = this.suspects.add(fingerprint, incarnation, nowMs);
+    if (!isNewCrash) return;
+    if (crashes >= maxCrashes || this.entries.has(fingerprint)) this.quarantine(fingerprint, own, nowMs);
+    else if (crashes >= watchedFromCrashes)
+      this.entries.watch(fingerprint, this.suspects.crashedIncarnations(fingerprint), own, nowMs);
   }
 
-  /** Nodes that haven't served it themselves count what is cut. */
-  private tellSurvived(fingerprint: string): void {
-    if (!this.news.survived.includes(fingerprint)) this.news.survived.push(fingerprint);
+  /** Announces the success again: nodes that haven't served the request themselves count its connection losses. */
+  private announceSuccess(fingerprint: string): void {
+    if (!this.update.survived.includes(fingerprint)) this.update.survived.push(fingerprint);
     this.updated.fire(undefined);
   }
 
-  private hold(fingerprint: string, own: boolean, nowMs: number): void {
-    const forMs = this.entries.hold(fingerprint, own, nowMs);
-    if (own) this.news.held[fingerprint] = { leftMs: forMs, forMs };
+  private quarantine(fingerprint: string, own: boolean, nowMs: number): void {
+    const forMs = this.entries.quarantine(fingerprint, own, nowMs);
+    if (own) this.update.held[fingerprint] = { leftMs: forMs, forMs };
     this.changed.fire({ fingerprint, kind: "held", own, row: undefined });
   }
 
-  /** The incarnation lives: requests under which hardly any other ended are let go. */
+  /** The incarnation is alive: releases requests that now have too few crashes against them. */
   private clearCrash(incarnation: string, own: boolean, nowMs: number): void {
     for (const fingerprint of this.suspects.clearCrash(incarnation))
-      if (this.suspects.endsUnder(fingerprint) < watchedFrom) this.drop(fingerprint, own, nowMs);
+      if (this.suspects.crashCount(fingerprint) < watchedFromCrashes)
+        this.removeEntry(fingerprint, own, nowMs);
   }
 
   private clear(fingerprint: string, own: boolean, nowMs: number): void {
     this.suspects.clear(fingerprint);
-    this.drop(fingerprint, own, nowMs);
+    this.removeEntry(fingerprint, own, nowMs);
   }
 
-  private drop(fingerprint: string, own: boolean, nowMs: number): void {
-    const hold = this.entries.release(fingerprint);
-    if (hold === undefined) return;
-    const kind = hold.untilMs > nowMs ? "released" : "forgotten";
-    this.changed.fire({ fingerprint, kind, own, row: hold.row });
+  private removeEntry(fingerprint: string, own: boolean, nowMs: number): void {
+    const entry = this.entries.remove(fingerprint);
+    if (entry === undefined) return;
+    const kind = entry.untilMs > nowMs ? "released" : "forgotten";
+    this.changed.fire({ fingerprint, kind, own, row: entry.row });
   }
 }
 
-/** News being gathered. */
-interface Gathered {
+/** The update being collected. */
+interface PendingUpdate {
   readonly cuts: Record<string, readonly string[]>;
   readonly survived: string[];
   readonly alive: string[];
-  readonly held: Record<string, typeof HeldFor.Type>;
+  readonly held: Record<string, typeof QuarantineDuration.Type>;
 }
 
-function emptyNews(): Gathered {
+function emptyUpdate(): PendingUpdate {
   return { cuts: {}, survived: [], alive: [], held: {} };
 }
 
-function isEmpty({ cuts, survived, alive, held }: QuarantineUpdate): boolean {
+function isEmptyUpdate({ cuts, survived, alive, held }: QuarantineUpdate): boolean {
   return Object.keys(cuts).length + survived.length + alive.length + Object.keys(held).length === 0;
 }
--- a/src/serving/quarantine/recentSuccesses.ts
+++ b/src/serving/quarantine/recentSuccesses.ts
@@ -1,32 +1,35 @@
 /**
- * Requests completed recently. They are not quarantined when a server crashes: a page that many ask for runs on every
- * server of a rack that fails.
+ * Requests that were completed recently. They aren't quarantined when servers crash: a page in high demand is running
+ * on every server of a rack that fails.
  */
 
-/** A request is remembered for this long after it was served, ms. */
-const rememberedMs = 60_000;
-/** Requests remembered: those that many ask for are served again and again, and stay among them. */
-const mostRemembered = 4_000;
+/** How long a served request is remembered, ms. */
+const retentionMs = 60_000;
+/**
+ * Maximum number of requests remembered; those in high demand are served again and again, and so are never the
+ * oldest.
+ */
+const maxEntries = 4_000;
 
-/** Fingerprints of requests served lately. */
+/** Fingerprints of recently served requests. */
 export class RecentSuccesses {
-  /** When each was served last, ms, in that order. */
-  private readonly servedMs = new Map<string, number>();
+  /** When each was last served, ms, in that order. */
+  private readonly servedAtMs = new Map<string, number>();
 
   get size(): number {
-    return this.servedMs.size;
+    return this.servedAtMs.size;
   }
 
   add(fingerprint: string, nowMs: number): void {
-    this.servedMs.delete(fingerprint);
-    this.servedMs.set(fingerprint, nowMs);
-    if (this.servedMs.size <= mostRemembered) return;
-    const [oldest] = this.servedMs.keys();
-    if (oldest !== undefined) this.servedMs.delete(oldest);
+    this.servedAtMs.delete(fingerprint);
+    this.servedAtMs.set(fingerprint, nowMs);
+    if (this.servedAtMs.size <= maxEntries) return;
+    const [oldest] = this.servedAtMs.keys();
+    if (oldest !== undefined) this.servedAtMs.delete(oldest);
   }
 
   has(fingerprint: string, nowMs: number): boolean {
-    const servedMs = this.servedMs.get(fingerprint);
-    return servedMs !== undefined && nowMs - servedMs < rememberedMs;
+    const servedAtMs = this.servedAtMs.get(fingerprint);
+    return servedAtMs !== undefined && nowMs - servedAtMs < retentionMs;
   }
 }
--- a/src/serving/quarantine/runLocks.ts
+++ b/src/serving/quarantine/runLocks.ts
@@ -1,25 +1,26 @@
 /**
- * Locks that let a suspected request run in one copy at a time over all nodes. Copies from a caller's repeats gather while
- * servers are missing; sent at once they would crash as many servers before any outcome is known.
+ * Locks that let only one duplicate of a suspected request run at a time over all nodes. Duplicates from a caller's
+ * retries pile up while servers are missing; if they were all sent at once, they would crash as many servers before
+ * any outcome is known.
  */
 
-/** A lock that its node doesn't renew within this time is free, ms: the node may have died. */
-const lockMs = 1_200;
+/** A lock that isn't renewed for this long is released, ms: its node may have died. */
+const lockTtlMs = 1_200;
 
-/** The locks that one node gives out. */
+/** The locks granted by one node. */
 export class RunLocks {
-  /** Who holds each lock, by fingerprint. */
+  /** Current holder of each lock, by fingerprint. */
   private readonly holders = new Map<string, { readonly node: string; readonly untilMs: number }>();
 
-  /** A node asks for the lock, or renews it; true if it holds it. */
+  /** Acquires or renews the lock for a node; returns whether the node holds it. */
   acquire(fingerprint: string, node: string, nowMs: number): boolean {
     const holder = this.holders.get(fingerprint);
     if (holder !== undefined && holder.node !== node && nowMs < holder.untilMs) return false;
-    this.holders.set(fingerprint, { node, untilMs: nowMs + lockMs });
+    this.holders.set(fingerprint, { node, untilMs: nowMs + lockTtlMs });
     return true;
   }
 
-  /** The node gives the lock back. */
+  /** Releases the lock if the node holds it. */
   release(fingerprint: string, node: string): void {
     if (this.holders.get(fingerprint)?.node === node) this.holders.delete(fingerprint);
   }
--- a/src/serving/quarantine/suspects.ts
+++ b/src/serving/quarantine/suspects.ts
@@ -1,100 +1,103 @@
 /**
- * Which requests were running when servers ended, and on how many. One server that ends makes suspects of all that ran
- * on it, and only one of them may be the cause; that one is there again when the next server ends.
+ * Tracks which requests were running when servers crashed, and on how many. A crash makes suspects of all requests
+ * that ran on the server, of which only one may be the cause; that one is running again when the next server crashes.
  */
 
-/** A suspicion to which no other end was added for this long is dropped, ms: callers that repeat do so in minutes. */
-const suspicionMs = 600_000;
-/** Requests remembered: what was running on some thirty servers of sixty slots. Past it the oldest are dropped. */
-const mostSuspects = 2_000;
+/** A suspicion is dropped if no further crash is added for this long, ms: callers that retry do so within minutes. */
+const suspicionTtlMs = 600_000;
+/**
+ * Maximum number of requests: as many as run on about thirty servers of sixty slots. Beyond it the oldest are
+ * dropped.
+ */
+const maxSuspects = 2_000;
 
-/** What was cut when one incarnation of a server ended, or seemed to. */
-interface End {
-  /** Of the latest cut. */
+/** Requests whose connection was lost when one incarnation of a server crashed, or seemed to. */
+interface Crash {
+  /** Time of the latest connection loss, ms. */
   atMs: number;
   readonly fingerprints: Set<string>;
 }
 
-/** Requests by fingerprint, with the incarnations that ended under them. */
+/** Suspected requests by fingerprint, with the incarnations that crashed while running them. */
 export class Suspects {
-  /** In the order of their latest cut. */
-  private readonly cuts = new Map<string, Map<string, number>>();
-  private readonly ends = new Map<string, End>();
+  /** In order of their latest crash. */
+  private readonly crashesByRequest = new Map<string, Map<string, number>>();
+  private readonly crashes = new Map<string, Crash>();
 
   get size(): number {
-    return this.cuts.size;
+    return this.crashesByRequest.size;
   }
 
   has(fingerprint: string): boolean {
-    return this.cuts.has(fingerprint);
+    return this.crashesByRequest.has(fingerprint);
   }
 
-  /** Incarnations that ended under the request. */
-  endsUnder(fingerprint: string): number {
-    return this.cuts.get(fingerprint)?.size ?? 0;
+  /** Number of incarnations that crashed while running the request. */
+  crashCount(fingerprint: string): number {
+    return this.crashesByRequest.get(fingerprint)?.size ?? 0;
   }
 
-  /** The incarnations that ended under the request. */
-  endedUnder(fingerprint: string): readonly string[] {
-    return [...(this.cuts.get(fingerprint)?.keys() ?? [])];
+  /** The incarnations that crashed while running the request. */
+  crashedIncarnations(fingerprint: string): readonly string[] {
+    return [...(this.crashesByRequest.get(fingerprint)?.keys() ?? [])];
   }
 
-  /** Is the request suspected to have ended the incarnation? */
-  isUnder(fingerprint: string, incarnation: string): boolean {
-    return this.cuts.get(fingerprint)?.has(incarnation) ?? false;
+  /** Whether the request is suspected of having crashed the incarnation. */
+  isSuspectedOf(fingerprint: string, incarnation: string): boolean {
+    return this.crashesByRequest.get(fingerprint)?.has(incarnation) ?? false;
   }
 
-  /** An incarnation ended while it ran the request. Gives back how many did so far. */
+  /** An incarnation crashed while running the request. Returns the number of incarnations that have. */
   add(fingerprint: string, incarnation: string, nowMs: number): number {
-    const under = this.cuts.get(fingerprint) ?? new Map<string, number>();
-    under.set(incarnation, nowMs);
-    this.cuts.delete(fingerprint);
-    this.cuts.set(fingerprint, under);
-    const end = this.ends.get(incarnation) ?? { atMs: nowMs, fingerprints: new Set() };
-    end.atMs = nowMs;
-    end.fingerprints.add(fingerprint);
-    this.ends.set(incarnation, end);
-    if (this.cuts.size > mostSuspects) this.dropOldest();
-    return under.size;
+    const incarnations = this.crashesByRequest.get(fingerprint) ?? new Map<string, number>();
+    incarnations.set(incarnation, nowMs);
+    this.crashesByRequest.delete(fingerprint);
+    this.crashesByRequest.set(fingerprint, incarnations);
+    const crash = this.crashes.get(incarnation) ?? { atMs: nowMs, fingerprints: new Set() };
+    crash.atMs = nowMs;
+    crash.fingerprints.add(fingerprint);
+    this.crashes.set(incarnation, crash);
+    if (this.crashesByRequest.size > maxSuspects) this.dropOldest();
+    return incarnations.size;
   }
 
-  /** When the incarnation was last seen to cut a request, ms; undefined if it never was. */
-  endedAtMs(incarnation: string): number | undefined {
-    return this.ends.get(incarnation)?.atMs;
+  /** When a connection to the incarnation was last lost, ms; undefined if none was. */
+  crashedAtMs(incarnation: string): number | undefined {
+    return this.crashes.get(incarnation)?.atMs;
   }
 
-  /** The incarnation lives: what it cut was not cut by its end. Gives back those requests. */
+  /** The incarnation is alive, so its connection losses weren't crashes. Returns the requests concerned. */
   clearCrash(incarnation: string): readonly string[] {
-    const fingerprints = [...(this.ends.get(incarnation)?.fingerprints ?? [])];
-    this.ends.delete(incarnation);
+    const fingerprints = [...(this.crashes.get(incarnation)?.fingerprints ?? [])];
+    this.crashes.delete(incarnation);
     for (const fingerprint of fingerprints) {
-      const under = this.cuts.get(fingerprint);
-      under?.delete(incarnation);
-      if (under?.size === 0) this.cuts.delete(fingerprint);
+      const incarnations = this.crashesByRequest.get(fingerprint);
+      incarnations?.delete(incarnation);
+      if (incarnations?.size === 0) this.crashesByRequest.delete(fingerprint);
     }
     return fingerprints;
   }
 
   /** Drops the request from suspicion. */
   clear(fingerprint: string): void {
-    for (const incarnation of this.cuts.get(fingerprint)?.keys() ?? []) {
-      const end = this.ends.get(incarnation);
-      end?.fingerprints.delete(fingerprint);
-      if (end?.fingerprints.size === 0) this.ends.delete(incarnation);
+    for (const incarnation of this.crashesByRequest.get(fingerprint)?.keys() ?? []) {
+      const crash = this.crashes.get(incarnation);
+      crash?.fingerprints.delete(fingerprint);
+      if (crash?.fingerprints.size === 0) this.crashes.delete(incarnation);
     }
-    this.cuts.delete(fingerprint);
+    this.crashesByRequest.delete(fingerprint);
   }
 
   /** Drops suspicions that are too old. */
   expire(nowMs: number): void {
-    for (const [fingerprint, under] of this.cuts) {
-      if (nowMs - Math.max(...under.values()) < suspicionMs) return;
+    for (const [fingerprint, incarnations] of this.crashesByRequest) {
+      if (nowMs - Math.max(...incarnations.values()) < suspicionTtlMs) return;
       this.clear(fingerprint);
     }
   }
 
   private dropOldest(): void {
-    const [oldest] = this.cuts.keys();
+    const [oldest] = this.crashesByRequest.keys();
     if (oldest !== undefined) this.clear(oldest);
   }
 }
--- a/src/serving/retryBudget.ts
+++ b/src/serving/retryBudget.ts
@@ -1,30 +1,30 @@
 /**
- * Bounds retries to a part of the requests, so that a failing pool is not buried under its own retries. The
- * bound is on all nodes together; each takes an equal part of the burst without asking the others, or one retry where
- * there are more nodes than retries.
+ * Limits retries to a ratio of the requests, so that a failing pool isn't overloaded by retries. The limit is
+ * fleet-wide: each node takes an equal share of the burst without asking the others, or one retry if there are more
+ * nodes than retries.
  */
 import { TokenBucket } from "../common/tokenBucket.ts";
 
-/** The nodes that share a budget, and this one's place among them. */
+/** How many nodes share a budget, and the rank of this one. */
 export interface BudgetShare {
   readonly count: number;
-  /** From 0. */
+  /** Starts at 0. */
   readonly rank: number;
-  /** Part of the budget that they share, from 0 to 1. */
+  /** Fraction of the budget that these nodes share, from 0 to 1. */
   readonly fraction: number;
 }
 
 /** Options of a `RetryBudget`. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each request. */
+  /** Retries earned per request. */
   readonly ratio?: number;
-  /** Retries that may be saved up, over all nodes. */
+  /** Retries that may accumulate, over all nodes. */
   readonly burst?: number;
-  /** Nodes that share the burst now, this one included. */
+  /** The nodes that share the burst now, this one included. */
   readonly budgetShare?: () => BudgetShare;
   /**
-   * What a node begins with, as a part of its share. Guards "the bound is exceeded when all nodes are killed":
-   * each forgets what it has used of the window, and a full share each would allow almost twice the burst.
+   * Initial fill of the bucket, as a ratio of this node's share. A restarted node has forgotten what it used within
+   * the window; if all nodes were killed and started with a full share, almost twice the burst would be allowed.
    */
   readonly initialFillRatio?: number;
 }
@@ -36,9 +36,9 @@
   initialFillRatio: 1,
 };
 
-/** Part of the burst that the nodes share out; the rest is slack for those that start anew. */
-const sharedPart = 0.9;
-/** A bucket that requests fill and retries empty. */
+/** Ratio of the burst that is divided between the nodes; the rest is slack for nodes that restart. */
+const sharedRatio = 0.9;
+/** A token bucket that requests fill and retries drain. */
 export class RetryBudget {
   private readonly options: Required<RetryBudgetOptions>;
   private readonly tokens: TokenBucket;
@@ -48,24 +48,24 @@
     this.tokens = new TokenBucket(this.share, this.share * this.options.initialFillRatio);
   }
 
-  /** Counts a request, which earns part of a retry. */
+  /** Counts a request, which earns a fraction of a retry. */
   deposit(): void {
-    // Nodes come and go, and a node that has just started knows of none.
+    // The number of nodes changes, and a node that has just started knows of none.
     this.tokens.resize(this.share);
     this.tokens.add(this.options.ratio);
   }
 
-  /** Takes one retry; false if the budget is used up. */
+  /** Takes one retry; false if the budget is exhausted. */
   tryWithdraw(): boolean {
     return this.tokens.take();
   }
 
   private get share(): number {
-    const { burst, budgetShare: sharers } = this.options;
-    const { count, rank, fraction: part } = sharers();
-    const shared = burst * sharedPart * part;
+    const { burst, budgetShare } = this.options;
+    const { count, rank, fraction } = budgetShare();
+    const shared = burst * sharedRatio * fraction;
     if (shared >= count) return shared / count;
-    // Parts of a retry are of no use, and rounded up they would exceed the burst.
+    // Fractions of a retry are useless, and rounding them up on each node would exceed the burst.
     return rank < Math.floor(shared) ? 1 : 0;
   }
 }
--- a/src/serving/sendRules.ts
+++ b/src/serving/sendRules.ts
@@ -1,64 +1,72 @@
 /**
- * How long a server is given, when another one is asked instead, and when none is worth asking. Answers silent
- * and slow servers without mistaking a busy one for them, and load beyond what can be served in time.
+ * Decides how long to wait for a server, when to try another one instead, and when no server is worth trying. Handles
+ * unresponsive and slow servers without mistaking a busy one for them, and load beyond what can be served in time.
  */
 import { isRepeatable, type Route } from "./configuration.ts";
-import { gapPatienceMs } from "./requestDeadlines.ts";
+import { callerEventTimeoutMs } from "./requestDeadlines.ts";
 
-/** An answer to a repeatable call that isn't there after this many times the route's target is asked elsewhere. */
-const silentTargets = 3;
-/** The same for the first event of a stream that may be resumed. */
-const silentStreamTargets = 2.5;
-/** Shortest time after which a server counts as silent, ms: the longest calls take 220 ms. */
-const leastSilentMs = 400;
-/** Part of the caller's patience with a pause after which a stream is continued elsewhere. */
-const pausePart = 0.6;
-/** A request is refused at once if its first byte is expected this many times later than its caller waits. */
-const hopelessFactor = 1.5;
+/**
+ * A request that is safe to retry is sent to another server if there is no response after this multiple of the
+ * route's target.
+ */
+const unresponsiveTargets = 3;
+/** The same for the first event of a resumable stream. */
+const unresponsiveStreamTargets = 2.5;
+/** Shortest time after which a server counts as unresponsive, ms: the longest calls take 220 ms. */
+const minUnresponsiveMs = 400;
+/** Ratio of the caller's timeout between events after which a stream is resumed on another server. */
+const eventGapTimeoutRatio = 0.6;
+/**
+ * A request is refused immediately if its first byte is expected after this multiple of the caller's remaining time.
+ */
+const missedDeadlineFactor = 1.5;
 
-/** May the request be sent to another server, if `ran` servers may have run it and one more does now? */
-export function mayRepeat(route: Route, ran: number): boolean {
-  return isRepeatable(route) && ran + 1 < route.maxAttempts;
+/**
+ * Whether the request may be sent to another server if `priorRuns` servers may have run it and one more is running it
+ * now.
+ */
+export function mayRetry(route: Route, priorRuns: number): boolean {
+  return isRepeatable(route) && priorRuns + 1 < route.maxAttempts;
 }
 
-/** What the time limit of a send is set from. */
-export interface SendLimits {
+/** What the timeout of a send depends on. */
+export interface SendConditions {
   readonly route: Route;
   /** Servers that may have run the request before this send. */
   readonly priorRuns: number;
-  /** Until the caller leaves without a first byte, ms. */
+  /** Time until the caller disconnects without a first byte, ms. */
   readonly remainingMs: number;
-  /** Until the first byte as expected, ms. */
+  /** Expected time until the first byte, ms. */
   readonly expectedFirstByteMs: number;
-  /** Another server could be asked instead. */
+  /** Whether another server could be tried instead. */
   readonly hasAlternative: boolean;
 }
 
-/** How long the first byte may take, ms: all the caller has, unless another server can be asked. */
+/** Timeout of the first byte, ms: all of the caller's time, unless another server can be tried. */
 export function firstByteTimeoutMs({
   route,
-  priorRuns: ran,
-  remainingMs: leftMs,
-  expectedFirstByteMs: expectedMs,
-  hasAlternative: another,
-}: SendLimits): number {
-  // Nor is a silent server given up where there is no other: its work would be lost for nothing.
-  if (!another || !mayRepeat(route, ran)) return leftMs;
-  const targets = route.kind === "stream" ? silentStreamTargets : silentTargets;
-  // A busy server is not a silent one: what it was sent is work that would be lost by going elsewhere.
-  const busyMs = 2 * expectedMs + route.targetMs;
-  return Math.min(leftMs, Math.max(leastSilentMs, targets * route.targetMs, busyMs));
+  priorRuns,
+  remainingMs,
+  expectedFirstByteMs,
+  hasAlternative,
+}: SendConditions): number {
+  // Without an alternative an unresponsive server isn't given up either, as its work would be lost for nothing.
+  if (!hasAlternative || !mayRetry(route, priorRuns)) return remainingMs;
+  const targets = route.kind === "stream" ? unresponsiveStreamTargets : unresponsiveTargets;
+  // A busy server isn't unresponsive: its work on the request would be lost by trying another one.
+  const busyMs = 2 * expectedFirstByteMs + route.targetMs;
+  return Math.min(remainingMs, Math.max(minUnresponsiveMs, targets * route.targetMs, busyMs));
 }
 
-/** How long a stream may pause, ms. */
-export function eventGapTimeoutMs(route: Route, ran: number): number {
-  return gapPatienceMs(route) * (mayRepeat(route, ran) ? pausePart : 1);
+/** Timeout between two events of a stream, ms. */
+export function eventGapTimeoutMs(route: Route, priorRuns: number): number {
+  return callerEventTimeoutMs(route) * (mayRetry(route, priorRuns) ? eventGapTimeoutRatio : 1);
 }
 
 /**
- * Is it no use to send the request at all? One that no engine can start before its caller leaves would only
- * take engine time from those that can be served.
+ * Whether it is useless to send the request. One that no engine can start before its caller disconnects would only
+ * take engine time from requests that can be served.
  */
-export function willMissDeadline(expectedMs: number, leftMs: number): boolean {
-  return expectedMs >= leftMs * hopelessFactor;
+export function willMissDeadline(expectedFirstByteMs: number, remainingMs: number): boolean {
+  return expectedFirstByteMs >= remainingMs * missedDeadlineFactor;
 }
--- a/src/serving/serverNotices.ts
+++ b/src/serving/serverNotices.ts
@@ -1,26 +1,26 @@
 /**
- * What backend servers last said of themselves in their answers: a rate limit, that they shut down, when to send to them
- * again. Every path that sends asks here, and every answer is heard here.
+ * The latest notices of backend servers in their responses: a rate limit, a shutdown, or a back-off. All code that
+ * sends requests checks the notices here, and every response is recorded here.
  */
 import * as Schema from "effect/Schema";
 import { Emitter } from "../common/emitter.ts";
 import { incarnationOf, type BackendServer } from "./backendServer.ts";
 import type { ServerNotice } from "./exchange.ts";
 
-/** Names one incarnation of a server. */
+/** Identifies one incarnation of a server. */
 export type Incarnation = Pick<BackendServer, "id" | "startedAtMs">;
 
-/** A rate limit as its node last heard of it. */
+/** A rate limit as known to one node. */
 export const ObservedRateLimit = Schema.Struct({
-  /** Requests per second from all nodes together; absent once the server names no limit any more. */
+  /** Requests per second from all nodes together; absent once the server states no limit any more. */
   perS: Schema.optionalKey(Schema.Number),
-  /** Since the server said so, ms. */
+  /** Time since the server stated it, ms. */
   ageMs: Schema.Number,
 });
-/** A decoded word. */
+/** A decoded rate limit. */
 export type ObservedRateLimit = typeof ObservedRateLimit.Type;
 
-/** A rate limit as last named or lifted, and when, ms. */
+/** A rate limit as last stated or lifted, and when, ms. */
 interface LimitRecord {
   readonly perS: number | undefined;
   readonly atMs: number;
@@ -28,46 +28,49 @@
 
 interface NoticeRecord {
   limit: LimitRecord | undefined;
-  /** When this node first heard that the server leaves, ms. */
+  /** When this node first learned that the server is shutting down, ms. */
   leavingSinceMs: number | undefined;
-  pausedUntilMs: number;
-  /** A pause is over, and no answer has shown yet that the server takes requests again. */
-  isUntried: boolean;
-  /** Until then one request that was sent since the pause is waited for, ms. */
+  backoffUntilMs: number;
+  /** A back-off has ended, and no response has shown yet that the server accepts requests again. */
+  needsProbe: boolean;
+  /** Until then no other request is sent, as the first one since the back-off is awaited, ms. */
   probeUntilMs: number;
   /** When the server was last registered, ms. */
-  registeredMs: number;
+  lastRegisteredMs: number;
 }
 
-/** Whom a node has a notice from: the server itself, with an answer, or a peer. */
+/** Where a notice comes from: a response of the server, or a peer. */
 export type NoticeSource = "answer" | "peer";
 
-/** What is known of a server since something of it changed. */
+/** What is known of a server after a change. */
 export interface NoticeChange {
   readonly incarnation: string;
   readonly source: NoticeSource;
   readonly limitPerS: number | undefined;
   readonly leaving: boolean;
-  /** Given where the server asked for a pause now. */
+  /** Set if the server has just asked for a back-off. */
   readonly retryAfterMs?: number | undefined;
 }
 
 /**
- * Notices are kept this long after the registration is gone, ms: one that lapses while the store is away comes back, and
- * the server still leaves.
+ * Notices are kept this long after the registration is gone, ms. A registration that expires while the store is
+ * unavailable comes back, and the server is still shutting down.
  */
-const keptMs = 60_000;
+const retentionMs = 60_000;
 
-/** The first request after a pause may take this long to be answered, ms; then another one is sent. */
-const probeMs = 1_000;
+/** Timeout of the first request after a back-off, ms; then another one is sent. */
+const probeTimeoutMs = 1_000;
 
-/** Notices by incarnation: a server that starts again begins without any. */
+/** Notices by incarnation: a restarted server has none. */
 export class ServerNotices {
-  /** A server said something new. */
+  /** A server stated something new. */
   readonly changed = new Emitter<NoticeChange>();
   private readonly records = new Map<string, NoticeRecord>();
 
-  /** Takes the notice in an answer to a request that was sent at `sentMs`; the answer came at `arrivedMs` at the earliest. */
+  /**
+   * Records the notice in the response to a request sent at `sentMs`; the response arrived at `arrivedMs` at the
+   * earliest.
+   */
   recordNotice(
     server: Incarnation,
     notice: ServerNotice,
@@ -76,23 +79,23 @@
     arrivedMs = nowMs,
   ): void {
     const incarnation = incarnationOf(server);
-    if (isEmpty(notice) && !this.records.has(incarnation)) return;
-    const record = this.record(incarnation, nowMs);
+    if (isEmptyNotice(notice) && !this.records.has(incarnation)) return;
+    const record = this.recordOf(incarnation, nowMs);
     const { limitPerS, leaving, retryAfterMs } = notice;
-    const limitChanged = hearLimit(record, limitPerS, sentMs, nowMs);
+    const limitChanged = updateLimit(record, limitPerS, sentMs, nowMs);
     const leavingChanged = leaving && record.leavingSinceMs === undefined;
-    const pauseChanged = hearPause(record, retryAfterMs, sentMs, nowMs);
+    const backoffChanged = updateBackoff(record, retryAfterMs, sentMs, nowMs);
     if (leaving) record.leavingSinceMs ??= Math.max(sentMs, arrivedMs);
-    if (limitChanged || leavingChanged || pauseChanged)
-      this.tell(incarnation, record, "answer", retryAfterMs);
+    if (limitChanged || leavingChanged || backoffChanged)
+      this.emitChange(incarnation, record, "answer", retryAfterMs);
   }
 
-  /** Takes the notice in an answer that isn't one to a request: what it leaves out says nothing. */
+  /** Records a notice from a response to something other than a request: fields that are absent mean nothing. */
   recordPartialNotice(server: Incarnation, notice: ServerNotice, nowMs: number): void {
     this.recordNotice(server, notice, Number.NEGATIVE_INFINITY, nowMs);
   }
 
-  /** No server has said anything of itself. */
+  /** Whether there is no notice of any server. */
   get isEmpty(): boolean {
     return this.records.size === 0;
   }
@@ -102,7 +105,7 @@
     return this.records.get(incarnationOf(server))?.limit?.perS;
   }
 
-  /** The limit as last named or lifted, to tell peers; undefined if the server never named one. */
+  /** The limit as last stated or lifted, to send to peers; undefined if the server never stated one. */
   observedLimit(incarnation: string, nowMs: number): ObservedRateLimit | undefined {
     const limit = this.records.get(incarnation)?.limit;
     if (limit === undefined) return undefined;
@@ -110,73 +113,73 @@
     return limit.perS === undefined ? { ageMs } : { perS: limit.perS, ageMs };
   }
 
-  /** Takes a peer's word on a limit; true if it is newer than what is known. */
+  /** Applies a limit received from a peer; true if it is newer than the known one. */
   applyPeerLimit(incarnation: string, { perS, ageMs }: ObservedRateLimit, nowMs: number): boolean {
-    const record = this.record(incarnation, nowMs);
+    const record = this.recordOf(incarnation, nowMs);
     const known = record.limit;
     if (known !== undefined && known.atMs >= nowMs - ageMs) return false;
     record.limit = { perS, atMs: nowMs - ageMs };
-    if (known?.perS !== perS) this.tell(incarnation, record, "peer");
+    if (known?.perS !== perS) this.emitChange(incarnation, record, "peer");
     return true;
   }
 
-  /** May the server be sent requests, by the pauses that it asked this node for? */
+  /** Whether the back-offs that the server asked this node for allow requests to it now. */
   acceptsRequests(server: Incarnation, nowMs: number): boolean {
     const record = this.records.get(incarnationOf(server));
     if (record === undefined) return true;
-    return nowMs >= record.pausedUntilMs && (!record.isUntried || nowMs >= record.probeUntilMs);
+    return nowMs >= record.backoffUntilMs && (!record.needsProbe || nowMs >= record.probeUntilMs);
   }
 
-  /** Until the pause that the server asked for is over, ms. */
+  /** Remaining time of the server's back-off, ms. */
   backoffRemainingMs(server: Incarnation, nowMs: number): number {
-    return Math.max(0, (this.records.get(incarnationOf(server))?.pausedUntilMs ?? 0) - nowMs);
+    return Math.max(0, (this.records.get(incarnationOf(server))?.backoffUntilMs ?? 0) - nowMs);
   }
 
-  /** A request is sent to the server; the first after a pause is to be answered before others follow. */
+  /** Records a request sent to the server; after a back-off, the first one must be answered before others follow. */
   recordSend(server: Incarnation, nowMs: number): void {
     const record = this.records.get(incarnationOf(server));
-    if (record?.isUntried === true) record.probeUntilMs = nowMs + probeMs;
+    if (record?.needsProbe === true) record.probeUntilMs = nowMs + probeTimeoutMs;
   }
 
-  /** When this node first heard that the server leaves, ms; undefined if it didn't. */
+  /** When this node first learned that the server is shutting down, ms; undefined if it isn't. */
   leavingSinceMs(server: Incarnation): number | undefined {
     return this.records.get(incarnationOf(server))?.leavingSinceMs;
   }
 
-  /** Takes a peer's word that the server leaves. */
+  /** A peer reported that the server is shutting down. */
   applyPeerLeaving(incarnation: string, nowMs: number): void {
-    const record = this.record(incarnation, nowMs);
+    const record = this.recordOf(incarnation, nowMs);
     if (record.leavingSinceMs !== undefined) return;
     record.leavingSinceMs = nowMs;
-    this.tell(incarnation, record, "peer");
+    this.emitChange(incarnation, record, "peer");
   }
 
-  /** Drops what is known of servers that have been gone for long. */
+  /** Drops the notices of servers that have been gone for long. */
   retain(servers: readonly Incarnation[], nowMs: number): void {
     for (const server of servers) {
       const record = this.records.get(incarnationOf(server));
-      if (record !== undefined) record.registeredMs = nowMs;
+      if (record !== undefined) record.lastRegisteredMs = nowMs;
     }
-    for (const [incarnation, { registeredMs }] of this.records)
-      if (nowMs - registeredMs >= keptMs) this.records.delete(incarnation);
+    for (const [incarnation, { lastRegisteredMs }] of this.records)
+      if (nowMs - lastRegisteredMs >= retentionMs) this.records.delete(incarnation);
   }
 
-  private record(incarnation: string, nowMs: number): NoticeRecord {
+  private recordOf(incarnation: string, nowMs: number): NoticeRecord {
     const known = this.records.get(incarnation);
     if (known !== undefined) return known;
     const record: NoticeRecord = {
       limit: undefined,
       leavingSinceMs: undefined,
-      pausedUntilMs: 0,
-      isUntried: false,
+      backoffUntilMs: 0,
+      needsProbe: false,
       probeUntilMs: 0,
-      registeredMs: nowMs,
+      lastRegisteredMs: nowMs,
     };
     this.records.set(incarnation, record);
     return record;
   }
 
-  private tell(
+  private emitChange(
     incarnation: string,
     { limit, leavingSinceMs }: NoticeRecord,
     source: NoticeSource,
@@ -187,34 +190,35 @@
   }
 }
 
-/** Takes what an answer says of a limit; true if it is something new. */
-function hearLimit(record: NoticeRecord, perS: number | undefined, sentMs: number, nowMs: number): boolean {
+/** Applies the rate limit of a response; returns whether it changed. */
+function updateLimit(record: NoticeRecord, perS: number | undefined, sentMs: number, nowMs: number): boolean {
   const known = record.limit;
-  // Answers overtake each other, so one without a limit lifts it only if its request was sent after the last naming.
+  // Responses may arrive out of order, so one without a limit only lifts it if its request was sent after the limit
+  // was last stated.
   if (perS === undefined && (known === undefined || sentMs <= known.atMs)) return false;
   record.limit = { perS, atMs: nowMs };
   return known?.perS !== perS;
 }
 
-/** Takes what an answer says of a pause; true if one begins or is over. */
-function hearPause(
+/** Applies the back-off of a response; returns whether one starts or has ended. */
+function updateBackoff(
   record: NoticeRecord,
   retryAfterMs: number | undefined,
   sentMs: number,
   nowMs: number,
 ): boolean {
   if (retryAfterMs === undefined) {
-    const isOver = record.isUntried && sentMs >= record.pausedUntilMs;
-    if (isOver) record.isUntried = false;
+    const isOver = record.needsProbe && sentMs >= record.backoffUntilMs;
+    if (isOver) record.needsProbe = false;
     return isOver;
   }
-  const begins = nowMs >= record.pausedUntilMs;
-  record.pausedUntilMs = Math.max(record.pausedUntilMs, nowMs + retryAfterMs);
+  const begins = nowMs >= record.backoffUntilMs;
+  record.backoffUntilMs = Math.max(record.backoffUntilMs, nowMs + retryAfterMs);
   record.probeUntilMs = 0;
-  record.isUntried = true;
+  record.needsProbe = true;
   return begins;
 }
 
-function isEmpty({ limitPerS, leaving, retryAfterMs }: ServerNotice): boolean {
+function isEmptyNotice({ limitPerS, leaving, retryAfterMs }: ServerNotice): boolean {
   return limitPerS === undefined && !leaving && retryAfterMs === undefined;
 }
