--- a/src/serving/permits/permitIssuer.ts
+++ b/src/serving/permits/permitIssuer.ts
@@ -61,9 +61,9 @@
   private readonly buckets = new Map<string, Bucket>();
 
   /** Records a node's request for permits of the server, which accepts `perS` requests per second. */
-  recordRequest(node: string, ask: PermitRequest, perS: number, nowMs: number): void {
-    const bucket = this.bucket(ask.server, perS, nowMs);
-    const { waiting, waitedMs, spare } = ask;
+  recordRequest(node: string, request: PermitRequest, perS: number, nowMs: number): void {
+    const bucket = this.bucket(request.server, perS, nowMs);
+    const { waiting, waitedMs, spare } = request;
     bucket.requesters.set(node, { waiting, spare, sinceMs: nowMs - waitedMs, requestedAtMs: nowMs });
   }
 
--- a/src/serving/permits/permits.ts
+++ b/src/serving/permits/permits.ts
@@ -46,12 +46,12 @@
   /** Counts a request as waiting for a permit of any of the servers, until disposed. */
   wait(servers: readonly Incarnation[], sinceMs: number): Disposable {
     const waiter = { sinceMs };
-    const waitedFor = servers.map((server) => this.permitsOf(incarnationOf(server)).waiting);
-    for (const waiting of waitedFor) waiting.add(waiter);
+    const waitingSets = servers.map((server) => this.permitsOf(incarnationOf(server)).waiting);
+    for (const waiting of waitingSets) waiting.add(waiter);
     this.demandChanged.fire(undefined);
     return {
       dispose: () => {
-        for (const waiting of waitedFor) waiting.delete(waiter);
+        for (const waiting of waitingSets) waiting.delete(waiter);
         this.demandChanged.fire(undefined);
       },
     };
--- a/src/serving/serverNotices.ts
+++ b/src/serving/serverNotices.ts
@@ -212,11 +212,11 @@
     if (isOver) record.needsProbe = false;
     return isOver;
   }
-  const begins = nowMs >= record.backoffUntilMs;
+  const starts = nowMs >= record.backoffUntilMs;
   record.backoffUntilMs = Math.max(record.backoffUntilMs, nowMs + retryAfterMs);
   record.probeUntilMs = 0;
   record.needsProbe = true;
-  return begins;
+  return starts;
 }
 
 function isEmptyNotice({ limitPerS, leaving, retryAfterMs }: ServerNotice): boolean {
