--- a/src/serving/quarantine/quarantineList.ts
+++ b/src/serving/quarantine/quarantineList.ts
@@ -19,7 +19,7 @@
  */
 const saveTakeoverMs = 1_000;
 
-/** A request in quarantine, or watched after it or before it. */
+/** A quarantined request, or one that is watched before or after its quarantine. */
 export interface QuarantineEntry {
   /** When the request is released, ms. */
   readonly untilMs: number;
