--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -9,18 +9,18 @@
 import { parseEndpoint } from "../serving/hostSettings.ts";
 
 /** Time to set up a connection, ms: some ten round trips between zones; a lost first packet takes 1 s. */
-const connectMs = 300;
+const connectTimeoutMs = 300;
 /** Errors of a connection that its other end closed or reset; others are answers that can't be read. */
-const cutCodes: ReadonlySet<string> = new Set(["ECONNRESET", "EPIPE"]);
+const connectionLossCodes: ReadonlySet<string> = new Set(["ECONNRESET", "EPIPE"]);
 
 /** What a stream's events are written to. */
 export interface StreamSink {
   /** The first server's answer begins. */
-  open(raw: readonly string[]): void;
+  open(rawHeaders: readonly string[]): void;
   /** Writes whole events; false asks to wait for `drained`. */
   write(bytes: Buffer): boolean;
   /** Calls back once more may be written. */
-  drained(callback: () => void): void;
+  onDrain(callback: () => void): void;
 }
 
 /** What to send, and how long to wait. */
@@ -46,9 +46,9 @@
 }
 
 /** A whole answer, not a stream. */
-export interface WholeAnswer {
-  readonly facts: ResponseMetadata;
-  readonly raw: readonly string[];
+export interface BufferedResponse {
+  readonly metadata: ResponseMetadata;
+  readonly rawHeaders: readonly string[];
   readonly body: Buffer;
 }
 
@@ -58,7 +58,7 @@
  * was over.
  */
 export type AttemptOutcome =
-  | { readonly kind: "answered"; readonly answer: WholeAnswer; readonly firstByteMs: number }
+  | { readonly kind: "answered"; readonly response: BufferedResponse; readonly firstByteMs: number }
   | {
       readonly kind: "streamed";
       readonly firstByteMs: number;
@@ -66,14 +66,14 @@
       /** The stream said itself where it ends, rather than by the end of its connection. */
       readonly framed: boolean;
     }
-  | { readonly kind: "not-run"; readonly facts: ResponseMetadata }
+  | { readonly kind: "not-run"; readonly metadata: ResponseMetadata }
   | { readonly kind: "unreachable"; readonly reason: string }
   | {
       readonly kind: "broken";
       readonly reason: string;
       readonly lastEvent: number | undefined;
       /** The connection ended before the answer did, as it does when the server's process ends. */
-      readonly cut: boolean;
+      readonly connectionLost: boolean;
     }
   | {
       readonly kind: "silent";
@@ -88,7 +88,7 @@
 /** Told of an attempt's progress. */
 export interface AttemptListener {
   /** The server answers this request. */
-  answer(facts: ResponseMetadata): void;
+  answer(metadata: ResponseMetadata): void;
   /** The first byte of the body, or the first event, is there. */
   firstByte(): void;
 }
@@ -101,16 +101,16 @@
   private settle!: (outcome: AttemptOutcome) => void;
   private settled = false;
   private connected = false;
-  private sentWhole = false;
-  private failed = false;
+  private requestSent = false;
+  private requestFailed = false;
   private firstByteMs: number | undefined;
   private lastEvent: number | undefined;
-  private events = 0;
+  private eventCount = 0;
   private lastEventMs = 0;
-  private silence: NodeJS.Timeout | undefined;
+  private idleTimer: NodeJS.Timeout | undefined;
   /** `silence` is the timer of a pause between events. */
-  private pausing = false;
-  private readonly overall: NodeJS.Timeout;
+  private watchingEventGap = false;
+  private readonly responseTimer: NodeJS.Timeout;
   private readonly startedMs = performance.now();
 
   constructor(
@@ -131,15 +131,15 @@
       headers: options.headers,
       setHost: false,
     });
-    this.overall = setTimeoutAfterInput(options.responseTimeoutMs, () => {
-      this.end({ kind: "timed-out", reason: "time limit", lastEvent: this.lastEvent });
+    this.responseTimer = setTimeoutAfterInput(options.responseTimeoutMs, () => {
+      this.abortWith({ kind: "timed-out", reason: "time limit", lastEvent: this.lastEvent });
     });
     this.listen();
   }
 
   /** The caller left: the server is told by closing the connection. */
   cancel(): void {
-    this.end({ kind: "cancelled" });
+    this.abortWith({ kind: "cancelled" });
   }
 
   private listen(): void {
@@ -147,14 +147,14 @@
       this.onSocket(socket);
     });
     this.req.on("finish", () => {
-      this.sentWhole = true;
+      this.requestSent = true;
     });
     this.req.on("error", (error: NodeJS.ErrnoException) => {
-      this.failed = true;
+      this.requestFailed = true;
       const reason = error.code ?? error.message;
       // Without a connection nothing was sent, whatever became of it.
-      if (!this.connected) this.end({ kind: "unreachable", reason });
-      else this.broke(reason, cutCodes.has(reason));
+      if (!this.connected) this.abortWith({ kind: "unreachable", reason });
+      else this.endBroken(reason, connectionLossCodes.has(reason));
     });
     this.req.on("response", (res) => {
       this.onResponse(res);
@@ -167,8 +167,8 @@
       this.req.end(this.options.body);
       return;
     }
-    const timer = setTimeoutAfterInput(connectMs, () => {
-      if (!this.connected) this.end({ kind: "unreachable", reason: "connect timeout" });
+    const timer = setTimeoutAfterInput(connectTimeoutMs, () => {
+      if (!this.connected) this.abortWith({ kind: "unreachable", reason: "connect timeout" });
     });
     socket.once("connect", () => {
       clearTimeout(timer);
@@ -185,127 +185,129 @@
 
   private onConnected(): void {
     this.connected = true;
-    this.watchSilence(this.options.firstByteTimeoutMs, "no first byte");
+    this.startIdleTimer(this.options.firstByteTimeoutMs, "no first byte");
   }
 
-  private watchSilence(ms: number, reason: string): void {
-    clearTimeout(this.silence);
+  private startIdleTimer(ms: number, reason: string): void {
+    clearTimeout(this.idleTimer);
     if (this.settled) return;
-    this.silence = setTimeout(() => {
-      const { firstByteMs, events } = this;
+    this.idleTimer = setTimeout(() => {
+      const { firstByteMs, eventCount } = this;
       // What was waited for may be there, unread: then the timer was started anew or isn't needed any more.
       void waitForPendingInput().then(() => {
-        if (this.firstByteMs !== firstByteMs || this.events !== events) return;
+        if (this.firstByteMs !== firstByteMs || this.eventCount !== eventCount) return;
         const waitedMs = firstByteMs === undefined ? ms : undefined;
-        this.end({ kind: "silent", reason, lastEvent: this.lastEvent, waitedMs });
+        this.abortWith({ kind: "silent", reason, lastEvent: this.lastEvent, waitedMs });
       });
     }, ms);
   }
 
   /** Another event came: the pause after it is watched, by the timer of the pause before. */
-  private watchPause(): void {
-    if (this.pausing) {
-      this.silence?.refresh();
+  private watchEventGap(): void {
+    if (this.watchingEventGap) {
+      this.idleTimer?.refresh();
       return;
     }
-    this.pausing = true;
-    this.watchSilence(this.options.eventGapTimeoutMs, "pause between events");
+    this.watchingEventGap = true;
+    this.startIdleTimer(this.options.eventGapTimeoutMs, "pause between events");
   }
 
   private onResponse(res: http.IncomingMessage): void {
-    const facts = this.options.codec.readResponse(res.statusCode ?? 0, res.headers);
+    const metadata = this.options.codec.readResponse(res.statusCode ?? 0, res.headers);
     // Guards "a caller gets another request's answer": a late second answer arrives where the next one is
     // due. The echoed id tells them apart; one without it belongs to no request.
-    if (facts.requestId !== this.options.requestId) {
-      this.broke("answer to another request", false);
+    if (metadata.requestId !== this.options.requestId) {
+      this.endBroken("answer to another request", false);
       return;
     }
-    this.listener.answer(facts);
-    if (facts.notExecuted) {
-      this.discard(res, facts);
+    this.listener.answer(metadata);
+    if (metadata.notExecuted) {
+      this.discardBody(res, metadata);
       return;
     }
-    if (this.options.sink !== undefined && facts.status === 200)
-      this.relay(res, facts.framed, this.options.sink);
-    else this.gather(res, facts);
+    if (this.options.sink !== undefined && metadata.status === 200)
+      this.relayStream(res, metadata.framed, this.options.sink);
+    else this.bufferBody(res, metadata);
   }
 
   /** Reads the rest of a refusal, so that the connection can be used again. */
-  private discard(res: http.IncomingMessage, facts: ResponseMetadata): void {
+  private discardBody(res: http.IncomingMessage, metadata: ResponseMetadata): void {
     res.on("error", () => undefined);
     res.resume();
-    this.keepOrClose();
-    this.conclude({ kind: "not-run", facts });
+    this.closeIfRequestUnsent();
+    this.settleWith({ kind: "not-run", metadata });
   }
 
-  private gather(res: http.IncomingMessage, facts: ResponseMetadata): void {
+  private bufferBody(res: http.IncomingMessage, metadata: ResponseMetadata): void {
     const chunks: Buffer[] = [];
-    this.sawFirstByte();
-    clearTimeout(this.silence);
+    this.recordFirstByte();
+    clearTimeout(this.idleTimer);
     res.on("data", (chunk: Buffer) => chunks.push(chunk));
     res.on("error", () => undefined);
     res.on("close", () => {
-      this.broke("answer incomplete", true);
+      this.endBroken("answer incomplete", true);
     });
     res.on("end", () => {
-      if (this.failed || !res.complete) return;
-      this.keepOrClose();
-      const answer = { facts, raw: res.rawHeaders, body: Buffer.concat(chunks) };
-      this.conclude({ kind: "answered", answer, firstByteMs: this.firstByteMs ?? 0 });
+      if (this.requestFailed || !res.complete) return;
+      this.closeIfRequestUnsent();
+      const response = { metadata, rawHeaders: res.rawHeaders, body: Buffer.concat(chunks) };
+      this.settleWith({ kind: "answered", response, firstByteMs: this.firstByteMs ?? 0 });
     });
   }
 
-  private relay(res: http.IncomingMessage, framed: boolean, sink: StreamSink): void {
+  private relayStream(res: http.IncomingMessage, framed: boolean, sink: StreamSink): void {
     const splitter = new EventSplitter();
     res.on("data", (chunk: Buffer) => {
       if (this.settled) return;
-      const events = this.newOf(splitter.push(chunk));
+      const events = this.undeliveredOf(splitter.push(chunk));
       if (events.length === 0) return;
       if (this.firstByteMs === undefined) {
-        this.sawFirstByte();
+        this.recordFirstByte();
         sink.open(res.rawHeaders);
       }
       this.lastEvent = events.at(-1)?.id ?? this.lastEvent;
-      this.events += events.length;
+      this.eventCount += events.length;
       this.lastEventMs = performance.now() - this.startedMs;
-      this.watchPause();
+      this.watchEventGap();
       const bytes = events.length === 1 ? events[0]?.bytes : Buffer.concat(events.map((e) => e.bytes));
       if (bytes === undefined || sink.write(bytes)) return;
       res.pause();
-      sink.drained(() => res.resume());
+      sink.onDrain(() => res.resume());
     });
     res.on("error", () => undefined);
     res.on("close", () => {
-      this.broke("stream incomplete", true);
+      this.endBroken("stream incomplete", true);
     });
     res.on("end", () => {
-      if (this.failed || !res.complete || this.settled) return;
-      this.keepOrClose();
+      if (this.requestFailed || !res.complete || this.settled) return;
+      this.closeIfRequestUnsent();
       if (splitter.incomplete.length > 0) {
-        this.broke("stream ended inside an event", true);
+        this.endBroken("stream ended inside an event", true);
         return;
       }
       if (this.firstByteMs === undefined) sink.open(res.rawHeaders);
       const firstByteMs = this.firstByteMs ?? 0;
-      this.conclude({ kind: "streamed", firstByteMs, timing: this.timing(), framed });
+      this.settleWith({ kind: "streamed", firstByteMs, timing: this.timing(), framed });
     });
   }
 
   private timing(): StreamTiming {
     const eventsMs = this.lastEventMs - (this.firstByteMs ?? 0);
-    return { totalMs: this.lastEventMs, eventsMs, events: this.events };
+    return { totalMs: this.lastEventMs, eventsMs, events: this.eventCount };
   }
 
-  private newOf(events: readonly StreamEvent[]): readonly StreamEvent[] {
-    return this.options.afterEvent === undefined ? events : events.filter((event) => this.isNew(event.id));
+  private undeliveredOf(events: readonly StreamEvent[]): readonly StreamEvent[] {
+    return this.options.afterEvent === undefined
+      ? events
+      : events.filter((event) => this.isUndelivered(event.id));
   }
 
   /** Events already delivered by another server are passed over. */
-  private isNew(id: number | undefined): boolean {
+  private isUndelivered(id: number | undefined): boolean {
     return id === undefined || this.options.afterEvent === undefined || id > this.options.afterEvent;
   }
 
-  private sawFirstByte(): void {
+  private recordFirstByte(): void {
     if (this.firstByteMs !== undefined) return;
     this.firstByteMs = performance.now() - this.startedMs;
     this.listener.firstByte();
@@ -315,27 +317,27 @@
    * Guards "a server reads other bytes where the rest of a body is due": an answer may come before the body
    * was sent, and the connection can't carry another request until all of it is out.
    */
-  private keepOrClose(): void {
-    if (!this.sentWhole) this.req.socket?.destroy();
+  private closeIfRequestUnsent(): void {
+    if (!this.requestSent) this.req.socket?.destroy();
   }
 
-  private broke(reason: string, cut: boolean): void {
-    this.end({ kind: "broken", reason, lastEvent: this.lastEvent, cut });
+  private endBroken(reason: string, connectionLost: boolean): void {
+    this.abortWith({ kind: "broken", reason, lastEvent: this.lastEvent, connectionLost });
   }
 
   /** Settles and leaves the connection as it is. */
-  private conclude(outcome: AttemptOutcome): void {
+  private settleWith(outcome: AttemptOutcome): void {
     if (this.settled) return;
     this.settled = true;
-    clearTimeout(this.silence);
-    clearTimeout(this.overall);
+    clearTimeout(this.idleTimer);
+    clearTimeout(this.responseTimer);
     this.settle(outcome);
   }
 
   /** Settles and ends the connection, which also cancels the work at the server. */
-  private end(outcome: AttemptOutcome): void {
+  private abortWith(outcome: AttemptOutcome): void {
     if (this.settled) return;
-    this.conclude(outcome);
+    this.settleWith(outcome);
     this.req.destroy();
   }
 }
--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -8,37 +8,37 @@
 import { RetryBudget, type BudgetShare } from "../serving/retryBudget.ts";
 import { CallerConnection } from "./callerConnection.ts";
 import { Exchange } from "./exchange.ts";
-import type { Placer, GatewayContext } from "./gatewayContext.ts";
+import type { PlacementClient, GatewayContext } from "./gatewayContext.ts";
 import type { RunLockTask } from "./runLockTask.ts";
 
 /** Largest head of a request Node reads, bytes; callers stay within the configured limit. */
-const maxHeadBytes = 64 * 1024;
+const maxHeaderBytes = 64 * 1024;
 /** Idle callers may reuse a connection for four fifths of the idle limit; it is closed this much later, ms. */
 const idleMarginMs = 2_000;
 /** Limits until a configuration is known. */
-const firstLimits = { headerTimeoutMs: 10_000, idleTimeoutMs: 60_000 };
+const defaultLimits = { headerTimeoutMs: 10_000, idleTimeoutMs: 60_000 };
 /** Part of its share of the retry budget that a node begins with; the other tenth of the whole is slack for it. */
-const firstPart = 0.1;
+const initialFillRatio = 0.1;
 /** After a signal to stop, streams that arrive later than this may not end in time and are refused, ms. */
-const streamsUntilMs = 2_500;
+const acceptStreamsMs = 2_500;
 /** From this long before its end a stopping node refuses every new request, ms: plain calls in flight finish. */
 const refuseAllMs = 1_200;
 
 /** Options of a `CallerServer`. */
 export interface CallerServerOptions {
   readonly endpoint: Endpoint;
-  readonly serving: GatewayContext;
-  readonly placer: Placer;
+  readonly context: GatewayContext;
+  readonly placement: PlacementClient;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly retryRatio: number;
   /** Retries beyond the ratio that all nodes together may make in a window. */
   readonly retryBurst: number;
   /** Nodes that share the budget. */
-  readonly sharers: () => BudgetShare;
+  readonly budgetShare: () => BudgetShare;
 }
 
 /** When a connection was accepted, and the earliest moment at which it may have come, ms. */
-interface Accepted {
+interface AcceptedConnection {
   readonly atMs: number;
   readonly earliestMs: number;
 }
@@ -50,10 +50,10 @@
   private readonly budgets = new Map<string, RetryBudget>();
   private stopping: { readonly sinceMs: number; readonly endMs: number } | undefined;
   private readonly exchanges = new Set<Exchange>();
-  private readonly accepted = new WeakMap<net.Socket, Accepted>();
+  private readonly accepted = new WeakMap<net.Socket, AcceptedConnection>();
 
   constructor(private readonly options: CallerServerOptions) {
-    this.server = http.createServer({ maxHeaderSize: maxHeadBytes, noDelay: true }, (req, res) => {
+    this.server = http.createServer({ maxHeaderSize: maxHeaderBytes, noDelay: true }, (req, res) => {
       void this.handle(req, res);
     });
     this.server.prependListener("connection", (socket: net.Socket) => {
@@ -63,14 +63,14 @@
       res.writeContinue();
       void this.handle(req, res);
     });
-    this.limit(firstLimits);
-    options.serving.configuration.changed.on((table) => {
-      this.limit(table.configuration.limits);
+    this.applyLimits(defaultLimits);
+    options.context.configuration.changed.on((table) => {
+      this.applyLimits(table.configuration.limits);
     });
   }
 
   /** Requests being served. */
-  get busy(): number {
+  get activeRequests(): number {
     return this.exchanges.size;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** From now on every answer closes its connection; new requests are still served for a while. */
-  stopSoon(endMs: number): void {
+  startDraining(endMs: number): void {
     this.stopping = { sinceMs: performance.now(), endMs };
   }
 
@@ -93,7 +93,7 @@
     await close(this.server);
   }
 
-  private limit(limits: Pick<CallerLimits, "headerTimeoutMs" | "idleTimeoutMs">): void {
+  private applyLimits(limits: Pick<CallerLimits, "headerTimeoutMs" | "idleTimeoutMs">): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs + idleMarginMs;
     // Node counts an unused new connection as a header on its way, so the idle limit bounds this one too.
     this.server.headersTimeout = Math.max(limits.headerTimeoutMs, limits.idleTimeoutMs) + idleMarginMs;
@@ -101,21 +101,21 @@
   }
 
   private async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const { serving, placer, runLocks } = this.options;
-    serving.watermark.recordRequest();
+    const { context, placement, runLocks } = this.options;
+    context.watermark.recordRequest();
     const caller = new CallerConnection({
-      ...{ req, res, codec: serving.codec },
+      ...{ req, res, codec: context.codec },
       arrivedMs: this.earliestArrivalMs(req.socket),
-      closing: () => this.stopping !== undefined,
+      stopping: () => this.stopping !== undefined,
     });
     const exchange = new Exchange({
-      serving,
-      placer,
+      context,
+      placement,
       runLocks,
       caller,
       budgetFor: (service) => this.budgetFor(service),
       refuseStreams: () =>
-        this.stopping !== undefined && performance.now() - this.stopping.sinceMs > streamsUntilMs,
+        this.stopping !== undefined && performance.now() - this.stopping.sinceMs > acceptStreamsMs,
       refuseAll: () => this.stopping !== undefined && this.stopping.endMs - performance.now() < refuseAllMs,
     });
     this.exchanges.add(exchange);
@@ -133,7 +133,7 @@
    * another node at once, and an answer to each would take the time of those that can be served.
    */
   private accept(socket: net.Socket): void {
-    const { watermark, metrics } = this.options.serving;
+    const { watermark, metrics } = this.options.context;
     watermark.recordAcceptedConnection();
     this.accepted.set(socket, { atMs: performance.now(), earliestMs: watermark.acceptedUpToMs });
     if (!watermark.acceptOverloaded) return;
@@ -146,20 +146,22 @@
    * of the event loop after the connection was accepted.
    */
   private earliestArrivalMs(socket: net.Socket): number {
-    const { readUpToMs: ms } = this.options.serving.watermark;
+    const { readUpToMs } = this.options.context.watermark;
     const accepted = this.accepted.get(socket);
-    return accepted === undefined || accepted.atMs <= ms ? ms : Math.min(ms, accepted.earliestMs);
+    return accepted === undefined || accepted.atMs <= readUpToMs
+      ? readUpToMs
+      : Math.min(readUpToMs, accepted.earliestMs);
   }
 
   private budgetFor(service: string): RetryBudget {
     const known = this.budgets.get(service);
     if (known !== undefined) return known;
-    const { retryRatio, retryBurst, sharers } = this.options;
+    const { retryRatio, retryBurst, budgetShare } = this.options;
     const budget = new RetryBudget({
       ratio: retryRatio,
       burst: retryBurst,
-      budgetShare: sharers,
-      initialFillRatio: firstPart,
+      budgetShare,
+      initialFillRatio,
     });
     this.budgets.set(service, budget);
     return budget;
--- a/src/gateway/controlServers.ts
+++ b/src/gateway/controlServers.ts
@@ -40,7 +40,7 @@
 }
 
 /** What the control servers of a node answer from. */
-export interface ControlOptions {
+export interface ControlServersOptions {
   readonly settings: Pick<HostSettings, "readiness" | "directory" | "metrics">;
   /** Paths of the readiness check and of the directory. */
   readonly paths: { readonly readiness: string; readonly directory: string };
@@ -58,7 +58,7 @@
   ready,
   directory,
   metrics,
-}: ControlOptions): ControlServer[] {
+}: ControlServersOptions): ControlServer[] {
   return [
     new ControlServer({
       name: "readiness",
--- a/src/gateway/demandBook.ts
+++ b/src/gateway/demandAggregator.ts
@@ -6,48 +6,51 @@
 import { demandKey, type GatewayContext } from "./gatewayContext.ts";
 
 /** A peer's demand counts for this long, ms. */
-const askedMs = 1_500;
+const peerDemandTtlMs = 1_500;
 /** A new holder waits this long at most to hear the demand of its peers, ms: three of their periods. */
-const hearingMs = 1_000;
+const peerDemandWaitMs = 1_000;
 
 /** Gathers what peers say. */
-export class DemandBook {
-  private readonly asked = new Map<string, { asked: CallerDemand; atMs: number }>();
+export class DemandAggregator {
+  private readonly peerDemand = new Map<string, { asked: CallerDemand; atMs: number }>();
   private readonly lastDemandMs = new Map<string, number>();
   private readonly startedMs = performance.now();
   /** When this node became the holder, or ceased to be one. */
-  private sinceMs = performance.now();
+  private leaseChangedMs = performance.now();
 
   constructor(
-    private readonly serving: GatewayContext,
+    private readonly context: GatewayContext,
     private readonly peers: PeerTable,
   ) {}
 
   /** Takes what a peer says. */
-  hear(pulse: Heartbeat): void {
-    if (pulse.asked !== undefined) this.asked.set(pulse.ip, { asked: pulse.asked, atMs: performance.now() });
+  applyHeartbeat(heartbeat: Heartbeat): void {
+    if (heartbeat.asked !== undefined)
+      this.peerDemand.set(heartbeat.ip, { asked: heartbeat.asked, atMs: performance.now() });
   }
 
   /** The lease was taken or lost: what peers said before may not have been meant for this node. */
-  startAnew(): void {
-    this.sinceMs = performance.now();
+  reset(): void {
+    this.leaseChangedMs = performance.now();
   }
 
   /**
    * Has every peer told this holder what is asked of it? Guards "a new holder drops the busiest model": before
    * it has heard its peers it takes every model for idle.
    */
-  get known(): boolean {
+  get isComplete(): boolean {
     const now = performance.now();
-    if (now - this.sinceMs > hearingMs) return true;
+    if (now - this.leaseChangedMs > peerDemandWaitMs) return true;
     const peers = this.peers.alive(now).map((peer) => peer.status.ip);
-    return peers.every((ip) => (this.asked.get(ip)?.atMs ?? Number.NEGATIVE_INFINITY) > this.sinceMs);
+    return peers.every(
+      (ip) => (this.peerDemand.get(ip)?.atMs ?? Number.NEGATIVE_INFINITY) > this.leaseChangedMs,
+    );
   }
 
   /** Requests in flight over all nodes: by engine, then by model. */
-  running(nowMs: number): ReadonlyMap<string, ReadonlyMap<string, number>> {
+  runningRequests(nowMs: number): ReadonlyMap<string, ReadonlyMap<string, number>> {
     const byEngine = new Map<string, Map<string, number>>();
-    for (const [key, count] of this.total("running", this.serving.modelsRunning.all(), nowMs)) {
+    for (const [key, count] of this.sum("running", this.context.modelsRunning.snapshot(), nowMs)) {
       const [serverId = "", model = ""] = key.split(" ");
       const byModel = byEngine.get(serverId) ?? new Map<string, number>();
       byEngine.set(serverId, byModel.set(model, count));
@@ -56,13 +59,13 @@
   }
 
   /** Demand for each model of the service. */
-  of(service: string, { models }: EngineLimits, nowMs: number): Map<string, ModelDemand> {
-    const asked = this.total("demand", this.serving.demand.levels(nowMs), nowMs);
-    const waiting = this.total("waiting", this.serving.waiting.all(), nowMs);
-    const adapters = this.adaptersAsked(nowMs);
+  modelDemand(service: string, { models }: EngineLimits, nowMs: number): Map<string, ModelDemand> {
+    const demand = this.sum("demand", this.context.demand.levels(nowMs), nowMs);
+    const waiting = this.sum("waiting", this.context.waitingRequests.snapshot(), nowMs);
+    const adapters = this.requestedAdapters(nowMs);
     const byModel = models.map(({ name }): [string, ModelDemand] => {
       const key = demandKey(service, name);
-      const engineMs = asked.get(key) ?? 0;
+      const engineMs = demand.get(key) ?? 0;
       const waitingNow = waiting.get(key) ?? 0;
       if (engineMs >= negligibleDemand || waitingNow > 0) this.lastDemandMs.set(key, nowMs);
       const idleMs = nowMs - (this.lastDemandMs.get(key) ?? this.startedMs);
@@ -76,18 +79,18 @@
    * seconds": an adapter that is told to make way while requests run with it closes the engine until they end.
    * A new holder has not heard yet what its peers run, so it takes any adapter for used until then.
    */
-  adapterUsedMs(key: string, nowMs: number): number {
-    const { adapterDemand, adaptersRunning } = this.serving;
+  adapterLastUsedMs(key: string, nowMs: number): number {
+    const { adapterDemand, adaptersRunning } = this.context;
     if (adaptersRunning.has(key) || adapterDemand.level(key, nowMs) >= negligibleDemand) return nowMs;
-    const usedByPeer = this.lately(nowMs).some((asked) => asked.adapters[key] !== undefined);
-    return usedByPeer ? nowMs : this.sinceMs;
+    const usedByPeer = this.recentPeerDemand(nowMs).some((asked) => asked.adapters[key] !== undefined);
+    return usedByPeer ? nowMs : this.leaseChangedMs;
   }
 
   /** Different adapters asked for lately over all nodes, by the demand key of their model. */
-  private adaptersAsked(nowMs: number): Map<string, Set<string>> {
+  private requestedAdapters(nowMs: number): Map<string, Set<string>> {
     const byModel = new Map<string, Set<string>>();
-    const own = this.serving.adapterDemand.levels(nowMs);
-    for (const asked of [own, ...this.lately(nowMs).map(({ adapters }) => adapters)]) {
+    const own = this.context.adapterDemand.levels(nowMs);
+    for (const asked of [own, ...this.recentPeerDemand(nowMs).map(({ adapters }) => adapters)]) {
       for (const key of Object.keys(asked)) {
         const [model = ""] = key.split("/");
         const names = byModel.get(model) ?? new Set<string>();
@@ -101,20 +104,22 @@
    * One part of what is asked, summed over this node and its peers. Summed once a round by the keys that were told: a
    * look for each engine and model at each peer took most of a small host's time with 82 engines and 141 models.
    */
-  private total(
+  private sum(
     part: "demand" | "waiting" | "running",
     own: Readonly<Record<string, number>>,
     nowMs: number,
   ): Map<string, number> {
     const sums = new Map(Object.entries(own));
-    for (const asked of this.lately(nowMs)) {
+    for (const asked of this.recentPeerDemand(nowMs)) {
       for (const [key, value] of Object.entries(asked[part])) sums.set(key, (sums.get(key) ?? 0) + value);
     }
     return sums;
   }
 
   /** What peers said that still counts. */
-  private lately(nowMs: number): CallerDemand[] {
-    return [...this.asked.values()].filter(({ atMs }) => nowMs - atMs < askedMs).map(({ asked }) => asked);
+  private recentPeerDemand(nowMs: number): CallerDemand[] {
+    return [...this.peerDemand.values()]
+      .filter(({ atMs }) => nowMs - atMs < peerDemandTtlMs)
+      .map(({ asked }) => asked);
   }
 }
--- a/src/gateway/engineController.ts
+++ b/src/gateway/engineController.ts
@@ -19,20 +19,20 @@
  * `no-lease`: this node may not order now; `outdated`: planned from an older state of the engine, not sent;
  * `unknown`: it may have been accepted, or may still be.
  */
-export type DeskOutcome = OrderOutcome | "no-lease" | "outdated" | "unknown";
+export type EngineOrderOutcome = OrderOutcome | "no-lease" | "outdated" | "unknown";
 
-/** What all desks share. */
-export interface DeskOptions {
+/** What all controllers share. */
+export interface EngineControllerOptions {
   readonly engines: EngineApi;
   readonly log: Log;
   readonly metrics: GatewayMetrics;
   readonly holder: string;
   /** The fencing token, while this node may order the engine. */
-  readonly token: (serverId: string) => number | undefined;
+  readonly tokenFor: (serverId: string) => number | undefined;
 }
 
 /** A model order that is not confirmed by the engine's registration yet. */
-interface Unconfirmed {
+interface UnconfirmedOrder {
   readonly sinceMs: number;
   /** The order's outcome is unknown: it may never be carried out. */
   readonly uncertain: boolean;
@@ -42,66 +42,66 @@
  * A registration may be this old when it is read, ms. Until then it can still show a model that was dropped,
  * or lack one that was loaded, so a model that just went isn't ordered back to the same engine.
  */
-const registrationAgeMs = 2_500;
+const maxRegistrationAgeMs = 2_500;
 
 /** An order that was not carried out after this time never will be, ms; late ones took up to 12 s. */
-const lostOrderMs = 15_000;
+const orderExpiryMs = 15_000;
 /** A report shows orders that were accepted at least this long before, ms: its figures lag by some hundred ms. */
 const reportLagMs = 500;
 /** An order without an answer is given again this often: three lost in a row are rare even on a bad day. */
-const repeats = 2;
+const maxResends = 2;
 /** Pause after an order was refused because another is under way or the sequence differs, ms. */
-const restMs = 250;
+const conflictBackoffMs = 250;
 
 /** Room is kept for a model this long, ms: an unload waits for the requests that run, mostly a few seconds. */
-const roomKeptMs = 8_000;
+const reservationMs = 8_000;
 
-const nothing = { models: [], adapters: [] };
+const emptyReport = { models: [], adapters: [] };
 
-/** The desk of one incarnation of an engine. */
+/** The controller of one incarnation of an engine. */
 export class EngineController {
   /** Models ordered, by name: their memory counts as taken. */
-  readonly coming = new Map<string, Unconfirmed>();
+  readonly loading = new Map<string, UnconfirmedOrder>();
   /** Models whose unloading was ordered and isn't confirmed: their memory counts as taken too. */
-  readonly dropping = new Map<string, Unconfirmed>();
+  readonly unloading = new Map<string, UnconfirmedOrder>();
   /** The model for which another was told to make way here. */
-  private room: { readonly model: string; readonly sinceMs: number } | undefined;
+  private reservation: { readonly model: string; readonly sinceMs: number } | undefined;
   /** Adapters ordered, and when. */
-  private readonly comingAdapters = new Map<string, number>();
+  private readonly pendingAdapters = new Map<string, number>();
   /** Those of them whose order was not answered: it may still be carried out. */
   private readonly uncertainAdapters = new Set<string>();
   /** Adapters chosen to make way that are not known to be gone. */
-  private readonly leavingAdapters = new Set<string>();
+  private readonly evictingAdapters = new Set<string>();
   /** Adapters unloaded that registrations may still show. */
-  private readonly goneAdapters = new Set<string>();
+  private readonly unloadedAdapters = new Set<string>();
   /** When each model, or adapter as MODEL/NAME, was last ordered in or out; of adapters only out. */
-  private readonly movedMs = new Map<string, number>();
-  private registered: BackendServer;
+  private readonly changedMs = new Map<string, number>();
+  private registration: BackendServer;
   /** When the registration was learned. */
-  private registeredMs = performance.now();
+  private registrationReceivedMs = performance.now();
   /** What the engine's last report showed, as models and as MODEL/NAME of adapters. */
-  private reported:
+  private lastReport:
     { readonly models: string[]; readonly adapters: string[]; readonly atMs: number } | undefined;
   /** Orders accepted so far, as far as is known. */
   private sequence = 0;
-  private line: Promise<unknown> = Promise.resolve();
+  private orderQueue: Promise<unknown> = Promise.resolve();
   /** The sequence is not known: ask before the next order. */
-  private askFirst = true;
+  private reportNeeded = true;
   /** Model orders given and not answered. */
-  private modelOrders = 0;
+  private modelOrdersInFlight = 0;
   private lastOrderMs = Number.NEGATIVE_INFINITY;
-  private refusedMs = Number.NEGATIVE_INFINITY;
+  private lastConflictMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     server: BackendServer,
-    private readonly options: DeskOptions,
+    private readonly options: EngineControllerOptions,
   ) {
-    this.registered = server;
+    this.registration = server;
   }
 
   /** The engine as it last registered. */
   get server(): BackendServer {
-    return this.registered;
+    return this.registration;
   }
 
   /**
@@ -109,7 +109,7 @@
    * the store the registrations don't show what the last holder ordered during it.
    */
   get verified(): boolean {
-    return this.reported !== undefined;
+    return this.lastReport !== undefined;
   }
 
   /**
@@ -117,66 +117,74 @@
    * to wait: the engine takes the next order, and that makes the one before void.
    */
   get busy(): boolean {
-    const underWay = (orders: ReadonlyMap<string, Unconfirmed>): boolean =>
+    const inProgress = (orders: ReadonlyMap<string, UnconfirmedOrder>): boolean =>
       [...orders.values()].some((order) => !order.uncertain);
-    return this.modelOrders > 0 || underWay(this.coming) || underWay(this.dropping);
+    return this.modelOrdersInFlight > 0 || inProgress(this.loading) || inProgress(this.unloading);
   }
 
   /** What the engine said may not be all that it was ordered: it is asked again before the next order. */
   invalidateReport(): void {
-    this.reported = undefined;
-    this.askFirst = true;
+    this.lastReport = undefined;
+    this.reportNeeded = true;
   }
 
   /** The model whose place is kept here. */
-  get roomFor(): string | undefined {
-    if (this.room === undefined || performance.now() - this.room.sinceMs > roomKeptMs) return undefined;
-    return this.room.model;
+  get reservedFor(): string | undefined {
+    if (this.reservation === undefined || performance.now() - this.reservation.sinceMs > reservationMs)
+      return undefined;
+    return this.reservation.model;
   }
 
   /** Keeps the place that an unload frees for `model`. */
-  keepRoom(model: string): void {
-    this.room = { model, sinceMs: performance.now() };
+  reserveFor(model: string): void {
+    this.reservation = { model, sinceMs: performance.now() };
   }
 
   /** Was an order refused so lately that another would be too? */
-  get resting(): boolean {
-    return performance.now() - this.refusedMs < restMs;
+  get backingOff(): boolean {
+    return performance.now() - this.lastConflictMs < conflictBackoffMs;
   }
 
   /** Models in memory that are to stay. */
-  get staying(): string[] {
-    return this.registered.residents
+  get retainedModels(): string[] {
+    return this.registration.residents
       .map((r) => r.model)
-      .filter((model) => this.dropping.get(model)?.uncertain !== false);
+      .filter((model) => this.unloading.get(model)?.uncertain !== false);
   }
 
   /** Every model that may take memory. */
-  get occupying(): Set<string> {
-    const resident = this.registered.residents.map((r) => r.model);
-    return new Set([...resident, ...this.lately().models, ...this.dropping.keys(), ...this.coming.keys()]);
+  get occupyingModels(): Set<string> {
+    const resident = this.registration.residents.map((r) => r.model);
+    return new Set([
+      ...resident,
+      ...this.recentReport().models,
+      ...this.unloading.keys(),
+      ...this.loading.keys(),
+    ]);
   }
 
   /** Adapters that may take a place, as MODEL/NAME. */
   get adapters(): string[] {
     const all = new Set([
-      ...adaptersOf(this.registered),
-      ...this.lately().adapters,
-      ...this.comingAdapters.keys(),
+      ...adaptersOf(this.registration),
+      ...this.recentReport().adapters,
+      ...this.pendingAdapters.keys(),
     ]);
-    return [...all].filter((name) => !this.goneAdapters.has(name));
+    return [...all].filter((name) => !this.unloadedAdapters.has(name));
   }
 
   /** Adapters that may be told to make way: neither on their way in nor out. */
   get evictableAdapters(): string[] {
-    return this.adapters.filter((name) => !this.comingAdapters.has(name) && !this.leavingAdapters.has(name));
+    return this.adapters.filter(
+      (name) => !this.pendingAdapters.has(name) && !this.evictingAdapters.has(name),
+    );
   }
 
   /** What was loaded or dropped here so lately that registrations may not tell yet; of adapters, MODEL/NAME. */
-  get unsettled(): Set<string> {
+  get recentlyChanged(): Set<string> {
     const now = performance.now();
-    const lately = [...this.movedMs].filter(([, atMs]) => now - atMs < registrationAgeMs);
-    return new Set(lately.map(([name]) => name));
+    const recent = [...this.changedMs].filter(([, atMs]) => now - atMs < maxRegistrationAgeMs);
+    return new Set(recent.map(([name]) => name));
   }
 
   /**
@@ -184,34 +192,34 @@
    * seconds because one answer was lost": an order may be carried out up to twelve seconds late, but only if
    * none was accepted meanwhile. Both carry the same count of orders, so at most one of them takes effect.
    */
-  async insist(request: OrderRequest): Promise<DeskOutcome> {
-    for (let left = repeats; ; left -= 1) {
+  async orderWithRetries(request: OrderRequest): Promise<EngineOrderOutcome> {
+    for (let resendsLeft = maxResends; ; resendsLeft -= 1) {
       const outcome = await this.order(request);
-      if (outcome !== "unknown" || left === 0) return outcome;
+      if (outcome !== "unknown" || resendsLeft === 0) return outcome;
     }
   }
 
   /** Gives the order once those before it were answered. */
-  order(request: OrderRequest): Promise<DeskOutcome> {
+  order(request: OrderRequest): Promise<EngineOrderOutcome> {
     const orders = request.adapter === undefined ? 1 : 0;
     // Counted before it is sent: a round that starts meanwhile must not give the same order again.
-    this.modelOrders += orders;
-    const result = this.line.then(() => this.send(request));
-    this.line = result.then(
-      () => (this.modelOrders -= orders),
-      () => (this.modelOrders -= orders),
+    this.modelOrdersInFlight += orders;
+    const result = this.orderQueue.then(() => this.send(request));
+    this.orderQueue = result.then(
+      () => (this.modelOrdersInFlight -= orders),
+      () => (this.modelOrdersInFlight -= orders),
     );
     return result;
   }
 
   /** Counts an adapter as there before its order is sent; call the result if it won't come. */
   reserveAdapter(name: string): () => void {
-    const wasComing = this.comingAdapters.has(name);
-    this.comingAdapters.set(name, performance.now());
-    this.goneAdapters.delete(name);
+    const wasPending = this.pendingAdapters.has(name);
+    this.pendingAdapters.set(name, performance.now());
+    this.unloadedAdapters.delete(name);
     return () => {
       // An order before this one may still bring it.
-      if (!wasComing) this.comingAdapters.delete(name);
+      if (!wasPending) this.pendingAdapters.delete(name);
     };
   }
 
@@ -220,28 +228,30 @@
     const name = `${model}/${adapter}`;
     // Guards "the sequence runs ahead of the engine's": two unloads of one adapter are both answered as done,
     // but only the first counts, and every later order would be refused. So an adapter is chosen once.
-    this.leavingAdapters.add(name);
+    this.evictingAdapters.add(name);
     const outcome = await this.order({ action: "unload", model, adapter, reason: "make-room" });
     // Accepted only: requests still run with it, and it is gone once they end.
-    if (outcome !== "accepted") this.leavingAdapters.delete(name);
+    if (outcome !== "accepted") this.evictingAdapters.delete(name);
     return outcome === "already-holds";
   }
 
   /** Takes what the engine's registration says; the models whose load it shows to be done. */
-  learn(server: BackendServer): string[] {
-    if (server === this.registered) this.settleAdapters(adaptersOf(server));
-    if (server === this.registered || startedAfter(this.registered, server)) return [];
-    if (startedAfter(server, this.registered)) this.restarted();
-    this.registered = server;
-    this.registeredMs = performance.now();
+  applyRegistration(server: BackendServer): string[] {
+    if (server === this.registration) this.confirmAdapters(adaptersOf(server));
+    if (server === this.registration || startedAfter(this.registration, server)) return [];
+    if (startedAfter(server, this.registration)) this.resetForRestart();
+    this.registration = server;
+    this.registrationReceivedMs = performance.now();
     const held = new Set(server.residents.map((resident) => resident.model));
-    const arrived = [...held].filter((model) => this.coming.delete(model));
-    for (const model of [...this.dropping.keys()]) if (!held.has(model)) this.dropping.delete(model);
+    const loaded = [...held].filter((model) => this.loading.delete(model));
+    for (const model of [...this.unloading.keys()]) if (!held.has(model)) this.unloading.delete(model);
     const adapters = adaptersOf(server);
-    this.settleAdapters(adapters);
-    for (const name of [...this.goneAdapters]) if (!adapters.has(name)) this.goneAdapters.delete(name);
-    for (const name of [...this.leavingAdapters]) if (!adapters.has(name)) this.leavingAdapters.delete(name);
-    return arrived;
+    this.confirmAdapters(adapters);
+    for (const name of [...this.unloadedAdapters])
+      if (!adapters.has(name)) this.unloadedAdapters.delete(name);
+    for (const name of [...this.evictingAdapters])
+      if (!adapters.has(name)) this.evictingAdapters.delete(name);
+    return loaded;
   }
 
   /**
@@ -249,12 +259,12 @@
    * loaded again shows it, and the next, from between the two, doesn't. So an order keeps its place until
    * registrations must have been made after it.
    */
-  private settleAdapters(registered: ReadonlySet<string>): void {
+  private confirmAdapters(registered: ReadonlySet<string>): void {
     const now = performance.now();
-    for (const [name, atMs] of this.comingAdapters) {
+    for (const [name, atMs] of this.pendingAdapters) {
       const ageMs = now - atMs;
-      if (ageMs > lostOrderMs || (ageMs > registrationAgeMs && registered.has(name))) {
-        this.comingAdapters.delete(name);
+      if (ageMs > orderExpiryMs || (ageMs > maxRegistrationAgeMs && registered.has(name))) {
+        this.pendingAdapters.delete(name);
         this.uncertainAdapters.delete(name);
       }
     }
@@ -265,36 +275,36 @@
    * restarted takes no orders": its memory would look full, and each order would expect a count that it has
    * forgotten. Orders of unknown outcome stay counted, as the new incarnation may still carry them out.
    */
-  private restarted(): void {
-    for (const orders of [this.coming, this.dropping]) {
+  private resetForRestart(): void {
+    for (const orders of [this.loading, this.unloading]) {
       for (const [model, order] of [...orders]) if (!order.uncertain) orders.delete(model);
     }
-    for (const name of this.comingAdapters.keys()) {
-      if (!this.uncertainAdapters.has(name)) this.comingAdapters.delete(name);
+    for (const name of this.pendingAdapters.keys()) {
+      if (!this.uncertainAdapters.has(name)) this.pendingAdapters.delete(name);
     }
-    this.leavingAdapters.clear();
-    this.goneAdapters.clear();
-    this.movedMs.clear();
-    this.room = undefined;
-    this.reported = undefined;
+    this.evictingAdapters.clear();
+    this.unloadedAdapters.clear();
+    this.changedMs.clear();
+    this.reservation = undefined;
+    this.lastReport = undefined;
     this.sequence = 0;
-    this.askFirst = true;
+    this.reportNeeded = true;
   }
 
   /** Asks the engine itself, where an order's outcome is not known from its answer. */
-  async ask(): Promise<void> {
+  async requestReport(): Promise<void> {
     const report = await this.options.engines.report(this.target);
     const { startedAtMs } = report;
     if (startedAtMs !== undefined) {
       // Made before a restart that is known by now: it says nothing of what the engine holds.
-      if (startedAfter(this.registered, { startedAtMs })) return;
-      if (startedAfter({ startedAtMs }, this.registered)) {
-        this.restarted();
-        this.registered = { ...this.registered, startedAtMs, residents: [] };
+      if (startedAfter(this.registration, { startedAtMs })) return;
+      if (startedAfter({ startedAtMs }, this.registration)) {
+        this.resetForRestart();
+        this.registration = { ...this.registration, startedAtMs, residents: [] };
       }
     }
-    this.askFirst = false;
-    const moved = report.sequence > this.sequence;
+    this.reportNeeded = false;
+    const sequenceAdvanced = report.sequence > this.sequence;
     const upToDate = performance.now() - this.lastOrderMs > reportLagMs;
     this.sequence = upToDate ? report.sequence : Math.max(this.sequence, report.sequence);
     const adapters = adaptersOf(report);
@@ -302,13 +312,14 @@
     // While an order is under way the report doesn't show what it brings, so it can't be built on.
     if (report.busy) return;
     // Nor can it be, for what was ordered since it was made: the orders' own effects stay counted.
-    this.reported = { models, adapters: [...adapters, ...report.coming], atMs: performance.now() };
+    this.lastReport = { models, adapters: [...adapters, ...report.coming], atMs: performance.now() };
     if (!upToDate) return;
     const held = new Set(models);
-    for (const [model, drop] of [...this.dropping]) if (moved && drop.uncertain) this.dropping.delete(model);
-    for (const [model, coming] of [...this.coming]) {
+    for (const [model, unload] of [...this.unloading])
+      if (sequenceAdvanced && unload.uncertain) this.unloading.delete(model);
+    for (const [model, load] of [...this.loading]) {
       // One of unknown outcome is void only once another order was accepted after it.
-      if (!held.has(model) && (moved || !coming.uncertain)) this.coming.delete(model);
+      if (!held.has(model) && (sequenceAdvanced || !load.uncertain)) this.loading.delete(model);
     }
   }
 
@@ -317,14 +328,14 @@
    * the engine has then accepted more orders than were known when this one was planned, and with their count
    * learned only now the engine could not tell that it is outdated. So it is planned anew.
    */
-  private async movedUnseen(): Promise<boolean> {
+  private async sequenceChangedUnseen(): Promise<boolean> {
     const planned = this.sequence;
     try {
-      await this.ask();
+      await this.requestReport();
     } catch (error) {
       this.options.log.debug({
         event: "report-failed",
-        server: this.registered.id,
+        server: this.registration.id,
         detail: toFailure(error).message,
       });
     }
@@ -335,36 +346,37 @@
    * The last report, until a registration arrives that must have been made after it. Guards "an engine is overfilled": what
    * an earlier holder loaded is in no registration yet, however long that takes to come.
    */
-  private lately(): { readonly models: readonly string[]; readonly adapters: readonly string[] } {
-    const { reported } = this;
-    if (reported === undefined || this.registeredMs - reported.atMs > registrationAgeMs) return nothing;
+  private recentReport(): { readonly models: readonly string[]; readonly adapters: readonly string[] } {
+    const { lastReport } = this;
+    if (lastReport === undefined || this.registrationReceivedMs - lastReport.atMs > maxRegistrationAgeMs)
+      return emptyReport;
     return {
-      models: reported.models.filter((model) => !this.droppedSince(model, reported.atMs)),
-      adapters: reported.adapters.filter(
-        (name) => (this.movedMs.get(name) ?? Number.NEGATIVE_INFINITY) < reported.atMs - reportLagMs,
+      models: lastReport.models.filter((model) => !this.unloadedSince(model, lastReport.atMs)),
+      adapters: lastReport.adapters.filter(
+        (name) => (this.changedMs.get(name) ?? Number.NEGATIVE_INFINITY) < lastReport.atMs - reportLagMs,
       ),
     };
   }
 
-  private droppedSince(model: string, atMs: number): boolean {
-    return !this.dropping.has(model) && !this.coming.has(model) && (this.movedMs.get(model) ?? 0) > atMs;
+  private unloadedSince(model: string, atMs: number): boolean {
+    return !this.unloading.has(model) && !this.loading.has(model) && (this.changedMs.get(model) ?? 0) > atMs;
   }
 
   private get target(): OrderTarget {
-    const { id, startedAtMs, address } = this.registered;
+    const { id, startedAtMs, address } = this.registration;
     return { serverId: id, startedAtMs, address };
   }
 
-  private async send(request: OrderRequest): Promise<DeskOutcome> {
-    const { engines, log, metrics, holder, token } = this.options;
+  private async send(request: OrderRequest): Promise<EngineOrderOutcome> {
+    const { engines, log, metrics, holder, tokenFor } = this.options;
     const { target } = this;
-    if (this.askFirst && (await this.movedUnseen())) return "outdated";
-    const fencingToken = token(target.serverId);
+    if (this.reportNeeded && (await this.sequenceChangedUnseen())) return "outdated";
+    const fencingToken = tokenFor(target.serverId);
     if (fencingToken === undefined) return "no-lease";
     const { action, model, adapter } = request;
     const expectedSequence = this.sequence;
-    const { startedAtMs } = this.registered;
-    let outcome: DeskOutcome;
+    const { startedAtMs } = this.registration;
+    let outcome: EngineOrderOutcome;
     try {
       outcome = await engines.order(target, {
         action,
@@ -379,7 +391,8 @@
       log.warn({ event: "order-unanswered", server: target.serverId, detail: toFailure(error).message });
     }
     // What an earlier incarnation accepted was lost with it.
-    if (this.registered.startedAtMs === startedAtMs || outcome === "unknown") this.conclude(request, outcome);
+    if (this.registration.startedAtMs === startedAtMs || outcome === "unknown")
+      this.applyOutcome(request, outcome);
     metrics.orders.inc({ action, outcome });
     log.info({
       event: "order",
@@ -392,51 +405,55 @@
       sequence: expectedSequence,
       token: fencingToken,
       outcome,
-      counted: { models: [...this.occupying], adapters: this.adapters },
-      reportAgeMs: ageMs(this.reported?.atMs),
-      registrationAgeMs: ageMs(this.registeredMs),
+      counted: { models: [...this.occupyingModels], adapters: this.adapters },
+      reportAgeMs: ageMs(this.lastReport?.atMs),
+      registrationAgeMs: ageMs(this.registrationReceivedMs),
     });
     return outcome;
   }
 
-  private conclude(request: OrderRequest, outcome: DeskOutcome): void {
+  private applyOutcome(request: OrderRequest, outcome: EngineOrderOutcome): void {
     const { action, model, adapter } = request;
     const unloadedAdapter = action === "unload" && adapter !== undefined && outcome === "already-holds";
     if (outcome === "accepted" || unloadedAdapter) {
       this.sequence += 1;
       // A newer order was accepted, so one of unknown outcome before it is void.
-      dropUncertain(this.coming);
-      dropUncertain(this.dropping);
+      removeUncertain(this.loading);
+      removeUncertain(this.unloading);
     }
-    if (outcome === "conflict") this.refusedMs = performance.now();
+    if (outcome === "conflict") this.lastConflictMs = performance.now();
     else this.lastOrderMs = performance.now();
-    if (outcome === "conflict" || outcome === "unknown") this.askFirst = true;
-    if (adapter === undefined) this.concludeModel(action, model, outcome);
-    else if (unloadedAdapter) this.concludeUnload(`${model}/${adapter}`);
+    if (outcome === "conflict" || outcome === "unknown") this.reportNeeded = true;
+    if (adapter === undefined) this.applyModelOutcome(action, model, outcome);
+    else if (unloadedAdapter) this.applyAdapterUnload(`${model}/${adapter}`);
     // Whatever was reserved before: an unload of the same adapter may have ended the reservation.
     else if (action === "load" && (outcome === "accepted" || outcome === "unknown"))
-      this.concludeLoad(`${model}/${adapter}`, outcome);
+      this.applyAdapterLoad(`${model}/${adapter}`, outcome);
   }
 
-  private concludeLoad(name: string, outcome: "accepted" | "unknown"): void {
+  private applyAdapterLoad(name: string, outcome: "accepted" | "unknown"): void {
     this.reserveAdapter(name);
     if (outcome === "unknown") this.uncertainAdapters.add(name);
     else this.uncertainAdapters.delete(name);
   }
 
-  private concludeUnload(name: string): void {
-    this.comingAdapters.delete(name);
-    this.goneAdapters.add(name);
-    this.movedMs.set(name, performance.now());
+  private applyAdapterUnload(name: string): void {
+    this.pendingAdapters.delete(name);
+    this.unloadedAdapters.add(name);
+    this.changedMs.set(name, performance.now());
   }
 
-  private concludeModel(action: OrderRequest["action"], model: string, outcome: DeskOutcome): void {
+  private applyModelOutcome(
+    action: OrderRequest["action"],
+    model: string,
+    outcome: EngineOrderOutcome,
+  ): void {
     const done = outcome === "accepted" || outcome === "already-holds";
     if (!done && outcome !== "unknown") return;
     const now = performance.now();
-    this.movedMs.set(model, now);
-    if (action === "load" && this.room?.model === model) this.room = undefined;
-    const orders = action === "load" ? this.coming : this.dropping;
+    this.changedMs.set(model, now);
+    if (action === "load" && this.reservation?.model === model) this.reservation = undefined;
+    const orders = action === "load" ? this.loading : this.unloading;
     orders.set(model, { sinceMs: now, uncertain: outcome === "unknown" });
   }
 }
@@ -450,6 +467,6 @@
   return sinceMs === undefined ? undefined : Math.round(performance.now() - sinceMs);
 }
 
-function dropUncertain(orders: Map<string, Unconfirmed>): void {
+function removeUncertain(orders: Map<string, UnconfirmedOrder>): void {
   for (const [name, order] of [...orders]) if (order.uncertain) orders.delete(name);
 }
--- a/src/gateway/gatewayContext.ts
+++ b/src/gateway/gatewayContext.ts
@@ -40,15 +40,15 @@
 }
 
 /** Asks the holder of the placement lease for a model or adapter. */
-export interface Placer {
+export interface PlacementClient {
   /** Resolves once the adapter was ordered or can't be; the fleet then shows where it is. */
   ensureAdapter(service: string, model: string, adapter: string): Promise<void>;
   /** Somebody waits for the model: tells the holder soon. */
-  wanted(): void;
+  demandChanged(): void;
 }
 
 /** Requests that wait or run, counted by demand key or adapter key. */
-export class RequestCounts {
+export class RequestCounter {
   private readonly counts = new Map<string, number>();
 
   add(key: string): void {
@@ -70,7 +70,7 @@
   }
 
   /** Counts by key, to tell peers. */
-  all(): Record<string, number> {
+  snapshot(): Record<string, number> {
     return Object.fromEntries(this.counts);
   }
 }
@@ -94,11 +94,11 @@
   /** Demand for adapters, by adapter key. */
   readonly adapterDemand: DemandMeter;
   /** Requests waiting for a model that no engine holds, by demand key. */
-  readonly waiting: RequestCounts;
+  readonly waitingRequests: RequestCounter;
   /** Requests sent and not finished, by adapter key. */
-  readonly adaptersRunning: RequestCounts;
+  readonly adaptersRunning: RequestCounter;
   /** The same by residency key. */
-  readonly modelsRunning: RequestCounts;
+  readonly modelsRunning: RequestCounter;
   readonly refusals: Refusals;
   /** What servers say of themselves in their answers. */
   readonly notices: ServerNotices;
@@ -109,23 +109,26 @@
   /** Requests under which servers end. */
   readonly quarantine: Quarantine;
   readonly modelWaits: ModelWaitEstimator;
-  readonly paces: PrefillFactors;
-  readonly speed: EngineSpeed;
+  readonly prefillFactors: PrefillFactors;
+  readonly engineSpeed: EngineSpeed;
   readonly pool: UpstreamPool;
   readonly metrics: GatewayMetrics;
   /** How far this process has read what arrived at its sockets. */
   readonly watermark: ReadWatermark;
-  readonly overload: OverloadDetector;
+  readonly overloadDetector: OverloadDetector;
 }
 
 /** What differs between nodes. */
-export interface ServingOptions extends Pick<GatewayContext, "host" | "zone" | "drainMs" | "log" | "codec"> {
+export interface GatewayContextOptions extends Pick<
+  GatewayContext,
+  "host" | "zone" | "drainMs" | "log" | "codec"
+> {
   /** Nodes that callers' requests are spread over now, this one included. */
   readonly nodes: () => number;
 }
 
 /** The parts as they are before anything was learned. */
-export function createGatewayContext({ nodes, ...options }: ServingOptions): GatewayContext {
+export function createGatewayContext({ nodes, ...options }: GatewayContextOptions): GatewayContext {
   const notices = new ServerNotices();
   return {
     ...options,
@@ -136,21 +139,21 @@
     outliers: new OutlierDetector(),
     demand: new DemandMeter({ nodeCount: nodes }),
     adapterDemand: new DemandMeter({ nodeCount: nodes }),
-    waiting: new RequestCounts(),
-    adaptersRunning: new RequestCounts(),
-    modelsRunning: new RequestCounts(),
+    waitingRequests: new RequestCounter(),
+    adaptersRunning: new RequestCounter(),
+    modelsRunning: new RequestCounter(),
     refusals: new Refusals(),
     notices,
     permits: new Permits(notices),
     permitIssuer: new PermitIssuer(),
     quarantine: new Quarantine(),
     modelWaits: new ModelWaitEstimator(),
-    paces: new PrefillFactors(),
-    speed: new EngineSpeed(),
+    prefillFactors: new PrefillFactors(),
+    engineSpeed: new EngineSpeed(),
     pool: new UpstreamPool(),
     metrics: new GatewayMetrics(),
     watermark: new ReadWatermark(),
-    overload: new OverloadDetector(),
+    overloadDetector: new OverloadDetector(),
   };
 }
 
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -1,7 +1,7 @@
 /** Counters and histograms of one gateway node (prom-client), in a registry of its own. */
 import * as prom from "prom-client";
 
-const latencyBuckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15];
+const latencyBucketsS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15];
 
 /** The metrics of one gateway node. */
 export class GatewayMetrics {
@@ -11,9 +11,11 @@
   /** Sends to servers, by service and outcome. */
   readonly attempts = this.counter("attempts_total", "Sends to servers", ["service", "outcome"]);
   /** Sends whose connection ended before the answer did, by service. */
-  readonly cuts = this.counter("cut_sends_total", "Sends whose connection ended before the answer", [
-    "service",
-  ]);
+  readonly lostConnections = this.counter(
+    "cut_sends_total",
+    "Sends whose connection ended before the answer",
+    ["service"],
+  );
   /** Sends to servers while a rate limit of theirs was known, by service. */
   readonly limitedSends = this.counter("limited_sends_total", "Sends to servers with a rate limit", [
     "service",
@@ -61,7 +63,7 @@
   }
 
   private histogram<T extends string>(name: string, help: string, labelNames: T[]): prom.Histogram<T> {
-    const options = { name: `parsleynotch_${name}`, help, labelNames, buckets: latencyBuckets };
+    const options = { name: `parsleynotch_${name}`, help, labelNames, buckets: latencyBucketsS };
     return new prom.Histogram({ ...options, registers: [this.registry] });
   }
 
--- a/src/gateway/quarantineCheck.ts
+++ b/src/gateway/quarantineCheck.ts
@@ -9,31 +9,31 @@
 import type { RunLock, RunLockTask } from "./runLockTask.ts";
 
 /** Requests with a longer body are identified only once there is a suspicion, bytes. */
-const longestCommonBody = 4_096;
+const maxLikelyRepeatedBodyBytes = 4_096;
 
 /** Pause between tries for a lock, ms. */
-const lockMs = 40;
+const lockRetryMs = 40;
 
 /** What the check works with. */
 export interface QuarantineCheckOptions {
-  readonly serving: GatewayContext;
+  readonly context: GatewayContext;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly req: http.IncomingMessage;
-  readonly facts: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly body: Buffer | undefined;
 }
 
 /** Asked before each send, told after it. */
 export class QuarantineCheck {
-  private contentId: string | undefined;
+  private cachedFingerprint: string | undefined;
   /** Held while this copy of a suspected request runs. */
   private lock: RunLock | undefined;
 
   constructor(private readonly options: QuarantineCheckOptions) {}
 
   /** Time until the request may be sent, ms; 0 if it may now. */
-  get leftMs(): number {
-    const { quarantine } = this.options.serving;
+  get remainingMs(): number {
+    const { quarantine } = this.options.context;
     // Skips hashing the body while nothing is quarantined.
     return quarantine.entries.size === 0 ? 0 : quarantine.remainingMs(this.fingerprint, performance.now());
   }
@@ -41,14 +41,14 @@
   /** May this copy run now? Of a suspected request one copy runs at a time, over all nodes. */
   get mayRun(): boolean {
     if (this.lock !== undefined) return true;
-    const { quarantine } = this.options.serving;
+    const { quarantine } = this.options.context;
     return quarantine.isEmpty || !quarantine.isSuspected(this.fingerprint, performance.now());
   }
 
   /** Acquires the lock if no other copy holds it, or else sleeps a moment. */
   async awaitLock(): Promise<void> {
     this.lock = await this.options.runLocks.acquire(this.fingerprint);
-    if (this.lock === undefined) await new Promise((resolve) => setTimeout(resolve, lockMs));
+    if (this.lock === undefined) await new Promise((resolve) => setTimeout(resolve, lockRetryMs));
   }
 
   /** Gives the lock back. */
@@ -58,76 +58,76 @@
   }
 
   /** Takes the outcome of a send made at `sentMs`. */
-  note(server: BackendServer, outcome: AttemptOutcome, sentMs: number): void {
-    const { quarantine } = this.options.serving;
-    if (outcome.kind === "broken" && outcome.cut) {
-      this.noteCut(server, outcome.reason, outcome.lastEvent, sentMs);
+  recordOutcome(server: BackendServer, outcome: AttemptOutcome, sentMs: number): void {
+    const { quarantine } = this.options.context;
+    if (outcome.kind === "broken" && outcome.connectionLost) {
+      this.recordConnectionLoss(server, outcome.reason, outcome.lastEvent, sentMs);
       this.lock?.markCut();
     }
     const now = performance.now();
-    if (hasAnswered(outcome)) quarantine.recordResponse(incarnationOf(server), sentMs, now);
-    if (hasRun(outcome) && (this.maySoonRepeat || !quarantine.isEmpty))
+    if (hasResponded(outcome)) quarantine.recordResponse(incarnationOf(server), sentMs, now);
+    if (ranToCompletion(outcome) && (this.isLikelyRepeated || !quarantine.isEmpty))
       quarantine.recordSuccess(this.fingerprint, now);
     this.dispose();
   }
 
   /** Long prompts are hardly ever sent twice by different callers, and cost the most to identify. */
-  private get maySoonRepeat(): boolean {
-    return (this.options.body?.length ?? 0) <= longestCommonBody;
+  private get isLikelyRepeated(): boolean {
+    return (this.options.body?.length ?? 0) <= maxLikelyRepeatedBodyBytes;
   }
 
-  private noteCut(
+  private recordConnectionLoss(
     server: BackendServer,
     reason: string,
     lastEvent: number | undefined,
     sentMs: number,
   ): void {
-    const { serving, facts } = this.options;
+    const { context, metadata } = this.options;
     const now = performance.now();
-    const known = serving.fleet.get(server.id);
+    const known = context.fleet.get(server.id);
     // Guards "a request is held back because servers were taken away": one that was leaving, or whose registration is
     // gone already, ends for that reason, and cuts off whatever still runs on it.
-    const ended =
-      known !== undefined && !known.leaving && serving.notices.leavingSinceMs(known) === undefined;
-    if (ended) serving.quarantine.recordConnectionLoss(this.fingerprint, incarnationOf(server), now);
-    serving.metrics.cuts.inc({ service: server.service });
-    serving.log.info({
+    const crashed =
+      known !== undefined && !known.leaving && context.notices.leavingSinceMs(known) === undefined;
+    if (crashed) context.quarantine.recordConnectionLoss(this.fingerprint, incarnationOf(server), now);
+    context.metrics.lostConnections.inc({ service: server.service });
+    context.log.info({
       event: "request-cut",
-      requestId: facts.requestId,
+      requestId: metadata.requestId,
       fingerprint: this.fingerprint,
       service: server.service,
       server: server.id,
-      model: facts.model,
-      adapter: facts.adapter,
+      model: metadata.model,
+      adapter: metadata.adapter,
       lastEvent,
       afterMs: Math.round(now - sentMs),
       reason,
-      counts: ended,
+      counts: crashed,
     });
   }
 
   private get fingerprint(): string {
-    const { req, facts, body } = this.options;
-    this.contentId ??= fingerprintOf({
+    const { req, metadata, body } = this.options;
+    this.cachedFingerprint ??= fingerprintOf({
       method: req.method ?? "GET",
-      host: facts.host,
+      host: metadata.host,
       target: req.url ?? "/",
       body,
     });
-    return this.contentId;
+    return this.cachedFingerprint;
   }
 }
 
 /** Did the server say anything to this request? */
-function hasAnswered(outcome: AttemptOutcome): boolean {
-  if (outcome.kind === "not-run") return !outcome.facts.wrongServer;
+function hasResponded(outcome: AttemptOutcome): boolean {
+  if (outcome.kind === "not-run") return !outcome.metadata.wrongServer;
   return outcome.kind === "answered" || outcome.kind === "streamed";
 }
 
 /** Did the server run the request to its end? An answer that doesn't say where it ends may have been cut off. */
-function hasRun(outcome: AttemptOutcome): boolean {
+function ranToCompletion(outcome: AttemptOutcome): boolean {
   if (outcome.kind === "streamed") return outcome.framed;
   if (outcome.kind !== "answered") return false;
-  const { status, framed } = outcome.answer.facts;
+  const { status, framed } = outcome.response.metadata;
   return status < serverErrorStatus && framed;
 }
--- a/src/gateway/sendRecord.ts
+++ b/src/gateway/sendRecord.ts
@@ -7,15 +7,15 @@
 import { adapterKey, residencyKey, type GatewayContext } from "./gatewayContext.ts";
 
 /** Prompts with a larger shared part say little of a model's pace. */
-const mostSharedPart = 0.4;
+const maxSharedPrefixRatio = 0.4;
 /** Answers of these classes by the server itself may be repeated elsewhere. */
 export const serverErrorStatus = 500;
 
 /** What the record works with. */
 export interface SendRecordOptions {
-  readonly serving: GatewayContext;
+  readonly context: GatewayContext;
   readonly service: Service;
-  readonly facts: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly arrivedMs: number;
 }
 
@@ -24,15 +24,15 @@
   constructor(private readonly options: SendRecordOptions) {}
 
   /** Counts the send in flight at its server, and with its model and adapter, until it is done. */
-  begin(chosen: ServerEstimate): InFlightRequest {
-    const { serving, facts, service } = this.options;
-    const { loads, modelsRunning, adaptersRunning } = serving;
-    const { model, adapter } = facts;
-    const inFlight = loads.begin(chosen.server.id, chosen.prefillMs);
-    if (serving.notices.limitPerS(chosen.server) !== undefined)
-      serving.metrics.limitedSends.inc({ service: service.name });
+  start(candidate: ServerEstimate): InFlightRequest {
+    const { context, metadata, service } = this.options;
+    const { loads, modelsRunning, adaptersRunning } = context;
+    const { model, adapter } = metadata;
+    const inFlight = loads.begin(candidate.server.id, candidate.prefillMs);
+    if (context.notices.limitPerS(candidate.server) !== undefined)
+      context.metrics.limitedSends.inc({ service: service.name });
     if (model === undefined) return inFlight;
-    const residency = residencyKey(chosen.server.id, model);
+    const residency = residencyKey(candidate.server.id, model);
     const running = adapter === undefined ? undefined : adapterKey(service.name, model, adapter);
     modelsRunning.add(residency);
     if (running !== undefined) adaptersRunning.add(running);
@@ -49,58 +49,58 @@
   }
 
   /** Judges the server by the outcome, learns the model's pace and the engine's speed, and writes it to the log. */
-  note(chosen: ServerEstimate, outcome: AttemptOutcome): void {
-    const { serving, service } = this.options;
-    const { server } = chosen;
+  recordOutcome(candidate: ServerEstimate, outcome: AttemptOutcome): void {
+    const { context, service } = this.options;
+    const { server } = candidate;
     const now = performance.now();
-    serving.metrics.attempts.inc({ service: service.name, outcome: outcome.kind });
-    if (outcome.kind === "answered" && outcome.answer.facts.status >= serverErrorStatus) {
-      serving.outliers.recordFailure(server.id, now);
+    context.metrics.attempts.inc({ service: service.name, outcome: outcome.kind });
+    if (outcome.kind === "answered" && outcome.response.metadata.status >= serverErrorStatus) {
+      context.outliers.recordFailure(server.id, now);
     } else if (outcome.kind === "answered" || outcome.kind === "streamed") {
-      serving.outliers.recordSuccess(server.id, outcome.firstByteMs, chosen.baselineMs);
-      this.learnPace(chosen, outcome.firstByteMs);
+      context.outliers.recordSuccess(server.id, outcome.firstByteMs, candidate.baselineMs);
+      this.observePrefill(candidate, outcome.firstByteMs);
       if (outcome.kind === "streamed" && service.engine !== undefined)
-        serving.speed.observe(outcome.timing, service.engine.tokensPerEvent);
+        context.engineSpeed.observe(outcome.timing, service.engine.tokensPerEvent);
     } else if (outcome.kind === "unreachable") {
-      serving.outliers.recordUnreachable(server.id, now);
+      context.outliers.recordUnreachable(server.id, now);
     } else if (outcome.kind === "broken" || outcome.kind === "silent") {
-      serving.outliers.recordFailure(server.id, now);
+      context.outliers.recordFailure(server.id, now);
     }
     if (outcome.kind === "silent" && outcome.waitedMs !== undefined)
-      serving.outliers.recordTimeout(server.id, outcome.waitedMs, chosen.baselineMs);
-    this.log(chosen, outcome, now);
+      context.outliers.recordTimeout(server.id, outcome.waitedMs, candidate.baselineMs);
+    this.log(candidate, outcome, now);
   }
 
-  private log(chosen: ServerEstimate, outcome: AttemptOutcome, now: number): void {
-    const { serving, facts, arrivedMs } = this.options;
-    serving.log.debug({
+  private log(candidate: ServerEstimate, outcome: AttemptOutcome, now: number): void {
+    const { context, metadata, arrivedMs } = this.options;
+    context.log.debug({
       event: "attempt",
-      requestId: facts.requestId,
-      server: chosen.server.id,
-      model: facts.model,
-      promptTokens: facts.promptTokens,
-      expectedMs: Math.round(chosen.expectedMs),
+      requestId: metadata.requestId,
+      server: candidate.server.id,
+      model: metadata.model,
+      promptTokens: metadata.promptTokens,
+      expectedMs: Math.round(candidate.expectedMs),
       tookMs: Math.round(now - arrivedMs),
       outcome: outcome.kind,
       ...("reason" in outcome ? { reason: outcome.reason } : {}),
       ...("firstByteMs" in outcome ? { firstByteMs: Math.round(outcome.firstByteMs) } : {}),
-      ...("answer" in outcome ? { status: outcome.answer.facts.status } : {}),
-      ...("facts" in outcome ? { status: outcome.facts.status } : {}),
+      ...("response" in outcome ? { status: outcome.response.metadata.status } : {}),
+      ...("metadata" in outcome ? { status: outcome.metadata.status } : {}),
     });
   }
 
-  private learnPace(chosen: ServerEstimate, firstByteMs: number): void {
-    const { serving, facts } = this.options;
+  private observePrefill(candidate: ServerEstimate, firstByteMs: number): void {
+    const { context, metadata } = this.options;
     const { model } = this;
-    if (model === undefined || !chosen.lightlyLoaded) return;
+    if (model === undefined || !candidate.lightlyLoaded) return;
     // Where much of the prompt is shared it isn't known how much of it was read.
-    if (sharedPrefixTokens(facts.prefix) > mostSharedPart * facts.promptTokens) return;
-    serving.paces.observe(model, firstByteMs, chosen.referencePrefillMs);
+    if (sharedPrefixTokens(metadata.prefix) > maxSharedPrefixRatio * metadata.promptTokens) return;
+    context.prefillFactors.observe(model, firstByteMs, candidate.referencePrefillMs);
   }
 
   /** The model asked for, where the service has engines. */
   private get model(): Model | undefined {
-    const { service, facts } = this.options;
-    return service.engine?.models.find((m) => m.name === facts.model);
+    const { service, metadata } = this.options;
+    return service.engine?.models.find((m) => m.name === metadata.model);
   }
 }
--- a/src/gateway/serverCandidates.ts
+++ b/src/gateway/serverCandidates.ts
@@ -6,9 +6,9 @@
 
 /** What the candidates are found with. */
 export interface ServerCandidatesOptions {
-  readonly serving: GatewayContext;
+  readonly context: GatewayContext;
   readonly service: Service;
-  readonly facts: RequestMetadata;
+  readonly metadata: RequestMetadata;
 }
 
 /** The candidates of one request. */
@@ -20,61 +20,61 @@
 
   /** What a refusal is about: the model at engines, the whole server elsewhere. */
   get scope(): string {
-    return this.options.facts.model ?? "";
+    return this.options.metadata.model ?? "";
   }
 
   /** Servers that may be sent the request now. */
   get ready(): BackendServer[] {
     const now = performance.now();
-    return this.open().filter((server) => this.takesRequests(server, now));
+    return this.eligible().filter((server) => this.acceptsNow(server, now));
   }
 
   /** Servers that could serve the request, and by their own word take none now: a rate limit, or a pause. */
-  get heldBack(): BackendServer[] {
-    if (this.options.serving.notices.isEmpty) return [];
+  get throttled(): BackendServer[] {
+    if (this.options.context.notices.isEmpty) return [];
     const now = performance.now();
-    return this.open().filter((server) => !this.tried.has(server.id) && !this.takesRequests(server, now));
+    return this.eligible().filter((server) => !this.tried.has(server.id) && !this.acceptsNow(server, now));
   }
 
   /** Does any server refuse requests like this at the moment, and may take them again any time? */
-  get refusing(): boolean {
+  get anyRefusing(): boolean {
     const now = performance.now();
-    const { refusals } = this.options.serving;
-    return this.reachable(this.available, this.model, this.options.facts.adapter).some(
+    const { refusals } = this.options.context;
+    return this.reachable(this.available, this.requiredModel, this.options.metadata.adapter).some(
       ({ id }) => !this.tried.has(id) && !refusals.isAvailable(id, this.scope, now),
     );
   }
 
   /** Does any server hold the model asked for, whatever its adapters? */
-  get modelIsThere(): boolean {
-    const { model } = this.options.facts;
+  get hasModel(): boolean {
+    const { model } = this.options.metadata;
     return model !== undefined && this.reachable(this.available, model, undefined).length > 0;
   }
 
   /** The model that a server must hold; undefined at plain servers. */
-  private get model(): string | undefined {
-    const { service, facts } = this.options;
-    return service.engine === undefined ? undefined : facts.model;
+  private get requiredModel(): string | undefined {
+    const { service, metadata } = this.options;
+    return service.engine === undefined ? undefined : metadata.model;
   }
 
   private get available(): readonly BackendServer[] {
-    return this.options.serving.fleet.available(this.options.service.name);
+    return this.options.context.fleet.available(this.options.service.name);
   }
 
-  private takesRequests(server: BackendServer, nowMs: number): boolean {
-    const { notices, permits } = this.options.serving;
+  private acceptsNow(server: BackendServer, nowMs: number): boolean {
+    const { notices, permits } = this.options.context;
     return notices.acceptsRequests(server, nowMs) && permits.admits(server, nowMs);
   }
 
   /** Servers that don't refuse requests like this; where there is no other, one that has just said that it leaves. */
-  private open(): BackendServer[] {
-    const { facts, service, serving } = this.options;
+  private eligible(): BackendServer[] {
+    const { metadata, service, context } = this.options;
     const now = performance.now();
-    const isOpen = ({ id }: BackendServer): boolean => serving.refusals.isAvailable(id, this.scope, now);
-    const servers = this.reachable(this.available, this.model, facts.adapter).filter(isOpen);
+    const isOpen = ({ id }: BackendServer): boolean => context.refusals.isAvailable(id, this.scope, now);
+    const servers = this.reachable(this.available, this.requiredModel, metadata.adapter).filter(isOpen);
     if (servers.length > 0) return servers;
-    const leaving = serving.fleet.leavingSince(service.name, now - serving.drainMs);
-    return this.reachable(leaving, this.model, facts.adapter).filter(isOpen);
+    const leaving = context.fleet.leavingSince(service.name, now - context.drainMs);
+    return this.reachable(leaving, this.requiredModel, metadata.adapter).filter(isOpen);
   }
 
   /**
@@ -88,7 +88,7 @@
     adapter: string | undefined,
   ): BackendServer[] {
     const now = performance.now();
-    const { outliers } = this.options.serving;
+    const { outliers } = this.options.context;
     // A few of 80 engines hold a model, so that is asked first: a request that waits its turn chooses 20 times a second.
     return servers
       .filter((server) => model === undefined || holds(server, model, adapter))
--- a/src/gateway/upstreamPool.ts
+++ b/src/gateway/upstreamPool.ts
@@ -4,14 +4,14 @@
 import type { Disposable } from "../common/disposables.ts";
 
 /** Idle connections kept per server. */
-const maxIdle = 6;
+const maxIdleConnections = 6;
 /** Retired this long before the server would close it, ms: a request must not meet the closing. */
 const idleMarginMs = 1_000;
 /** Idle time kept where the server names none (its own is then below a second), ms. */
-const unnamedIdleMs = 300;
+const defaultIdleMs = 300;
 
 /** Idle connections are probed after this time, ms, so that one to a dead host ends by itself. */
-const probeMs = 1_000;
+const keepAliveProbeMs = 1_000;
 
 /** A kept-alive agent that retires idle connections early and ends those on which bytes come unasked. */
 class ServerAgent extends http.Agent {
@@ -22,12 +22,12 @@
     { readonly timer: NodeJS.Timeout; readonly retire: () => void }
   >();
   /** A listener for closed connections; `this` is the socket, as Node calls it. */
-  private readonly forget: () => void;
+  private readonly stopTracking: () => void;
 
   constructor() {
-    super({ keepAlive: true, maxFreeSockets: maxIdle, scheduling: "lifo" });
+    super({ keepAlive: true, maxFreeSockets: maxIdleConnections, scheduling: "lifo" });
     const { idle } = this;
-    this.forget = function forget(this: net.Socket): void {
+    this.stopTracking = function forget(this: net.Socket): void {
       clearTimeout(idle.get(this)?.timer);
       idle.delete(this);
     };
@@ -35,9 +35,9 @@
 
   /** Called by Node when an answer is complete; false closes the connection. */
   override keepSocketAlive(socket: net.Socket): boolean {
-    const idleMs = this.keepAliveMs === undefined ? unnamedIdleMs : this.keepAliveMs - idleMarginMs;
+    const idleMs = this.keepAliveMs === undefined ? defaultIdleMs : this.keepAliveMs - idleMarginMs;
     if (idleMs <= 0) return false;
-    socket.setKeepAlive(true, probeMs);
+    socket.setKeepAlive(true, keepAliveProbeMs);
     socket.unref();
     const retire = (): void => {
       socket.destroy();
@@ -46,7 +46,7 @@
     // Guards "an answer is given to the wrong request": a server may send a second answer after a complete
     // one. Bytes on an idle connection belong to no request, so the connection must not carry another.
     socket.once("data", retire);
-    socket.once("close", this.forget);
+    socket.once("close", this.stopTracking);
     return true;
   }
 
@@ -56,7 +56,7 @@
     if (idle !== undefined) {
       clearTimeout(idle.timer);
       socket.removeListener("data", idle.retire);
-      socket.removeListener("close", this.forget);
+      socket.removeListener("close", this.stopTracking);
       this.idle.delete(socket);
     }
     super.reuseSocket(socket, req);
@@ -77,7 +77,7 @@
   }
 
   /** The server named its idle time, s. */
-  learnKeepAlive(serverId: string, seconds: number | undefined): void {
+  setKeepAlive(serverId: string, seconds: number | undefined): void {
     const agent = this.agents.get(serverId);
     if (agent !== undefined) agent.keepAliveMs = seconds === undefined ? undefined : seconds * 1000;
   }
