--- a/src/gateway/engineController.ts
+++ b/src/gateway/engineController.ts
@@ -343,8 +343,8 @@
   }
 
   /**
-   * The last report, until a registration arrives that must be newer. What an earlier lease holder loaded may be missing
-   * in registrations for any length of time; ignoring it would over-commit the engine's memory.
+   * The last report, until a registration arrives that must be newer. What an earlier lease holder loaded may be
+   * missing in registrations for any length of time; ignoring it would over-commit the engine's memory.
    */
   private recentReport(): { readonly models: readonly string[]; readonly adapters: readonly string[] } {
     const { lastReport } = this;
