--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -132,7 +132,7 @@
       setHost: false,
     });
     this.responseTimer = setTimeoutAfterInput(options.responseTimeoutMs, () => {
-      this.abortWith({ kind: "timed-out", reason: "time limit", lastEvent: this.lastEvent });
+      this.abortWith({ kind: "timed-out", reason: "response timeout", lastEvent: this.lastEvent });
     });
     this.listen();
   }
@@ -209,7 +209,7 @@
       return;
     }
     this.watchingEventGap = true;
-    this.startIdleTimer(this.options.eventGapTimeoutMs, "pause between events");
+    this.startIdleTimer(this.options.eventGapTimeoutMs, "event gap timeout");
   }
 
   private onResponse(res: http.IncomingMessage): void {
--- a/src/gateway/demandAggregator.ts
+++ b/src/gateway/demandAggregator.ts
@@ -12,7 +12,7 @@
 
 /** Collects the demand that peers report. */
 export class DemandAggregator {
-  private readonly peerDemand = new Map<string, { asked: CallerDemand; atMs: number }>();
+  private readonly peerDemand = new Map<string, { demand: CallerDemand; atMs: number }>();
   private readonly lastDemandMs = new Map<string, number>();
   private readonly startedMs = performance.now();
   /** When this node acquired or lost the lease. */
@@ -26,7 +26,7 @@
   /** Applies the demand reported in a peer's heartbeat. */
   applyHeartbeat(heartbeat: Heartbeat): void {
     if (heartbeat.asked !== undefined)
-      this.peerDemand.set(heartbeat.ip, { asked: heartbeat.asked, atMs: performance.now() });
+      this.peerDemand.set(heartbeat.ip, { demand: heartbeat.asked, atMs: performance.now() });
   }
 
   /** Called when the lease is acquired or lost: demand received earlier may not have been addressed to this node. */
@@ -82,7 +82,7 @@
   adapterLastUsedMs(key: string, nowMs: number): number {
     const { adapterDemand, adaptersRunning } = this.context;
     if (adaptersRunning.has(key) || adapterDemand.level(key, nowMs) >= negligibleDemand) return nowMs;
-    const usedByPeer = this.recentPeerDemand(nowMs).some((asked) => asked.adapters[key] !== undefined);
+    const usedByPeer = this.recentPeerDemand(nowMs).some((demand) => demand.adapters[key] !== undefined);
     return usedByPeer ? nowMs : this.leaseChangedMs;
   }
 
@@ -90,8 +90,8 @@
   private requestedAdapters(nowMs: number): Map<string, Set<string>> {
     const byModel = new Map<string, Set<string>>();
     const own = this.context.adapterDemand.levels(nowMs);
-    for (const asked of [own, ...this.recentPeerDemand(nowMs).map(({ adapters }) => adapters)]) {
-      for (const key of Object.keys(asked)) {
+    for (const demand of [own, ...this.recentPeerDemand(nowMs).map(({ adapters }) => adapters)]) {
+      for (const key of Object.keys(demand)) {
         const [model = ""] = key.split("/");
         const names = byModel.get(model) ?? new Set<string>();
         byModel.set(model, names.add(key));
@@ -110,8 +110,8 @@
     nowMs: number,
   ): Map<string, number> {
     const sums = new Map(Object.entries(own));
-    for (const asked of this.recentPeerDemand(nowMs)) {
-      for (const [key, value] of Object.entries(asked[part])) sums.set(key, (sums.get(key) ?? 0) + value);
+    for (const demand of this.recentPeerDemand(nowMs)) {
+      for (const [key, value] of Object.entries(demand[part])) sums.set(key, (sums.get(key) ?? 0) + value);
     }
     return sums;
   }
@@ -120,6 +120,6 @@
   private recentPeerDemand(nowMs: number): CallerDemand[] {
     return [...this.peerDemand.values()]
       .filter(({ atMs }) => nowMs - atMs < peerDemandTtlMs)
-      .map(({ asked }) => asked);
+      .map(({ demand }) => demand);
   }
 }
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -162,14 +162,14 @@
     const { model, adapter, promptTokens, outputHint, outputTokens, prefix } = this.metadata;
     const { engine } = this.service;
     if (model === undefined || engine === undefined) return;
-    const own = prefix.at(-1)?.tokens ?? promptTokens;
+    const ownTokens = prefix.at(-1)?.tokens ?? promptTokens;
     const output = Math.min(outputTokens, outputHint ?? outputTokens);
     const { prefillFactors, engineSpeed } = this.context;
-    const size = { ownTokens: own, outputTokens: output, prefillFactor: prefillFactors.factorOf(this.model) };
-    const work = engineWorkMs(size, engineSpeed.stepMs, engine.slots);
-    this.context.demand.add(demandKey(this.service.name, model), work, this.arrivedMs);
+    const size = { ownTokens, outputTokens: output, prefillFactor: prefillFactors.factorOf(this.model) };
+    const workMs = engineWorkMs(size, engineSpeed.stepMs, engine.slots);
+    this.context.demand.add(demandKey(this.service.name, model), workMs, this.arrivedMs);
     if (adapter === undefined) return;
-    this.context.adapterDemand.add(this.adapterKey(adapter), work, this.arrivedMs);
+    this.context.adapterDemand.add(this.adapterKey(adapter), workMs, this.arrivedMs);
   }
 
   private adapterKey(adapter: string): string {
@@ -247,7 +247,7 @@
     this.sends += 1;
     const inFlight = this.record.start(candidate);
     const responseTimeoutMs = this.deadlines.responseDeadlineMs - now - responseMarginMs;
-    const stream = route.kind === "stream";
+    const isStream = route.kind === "stream";
     const body = this.body;
     this.attempt = new Attempt(
       {
@@ -265,7 +265,7 @@
         }),
         body,
         requestId: request.requestId,
-        sink: stream ? this.caller : undefined,
+        sink: isStream ? this.caller : undefined,
         afterEvent: this.lastEvent ?? request.lastEventId,
         firstByteTimeoutMs: firstByteTimeoutMs({
           route,
--- a/src/gateway/gatewayNode.ts
+++ b/src/gateway/gatewayNode.ts
@@ -251,16 +251,17 @@
       ...this.fleet.handlers,
       ...this.quarantine.handlers,
     });
-    this.peers.heartbeatReceived.on((pulse) => {
-      this.observeEra(pulse);
-      if (pulse.paces !== undefined) this.context.prefillFactors.applyPeerFactors(pulse.ip, pulse.paces);
-      if (pulse.coming !== undefined)
-        this.context.modelWaits.setAnnouncedLoads(pulse.coming, performance.now());
-      void this.configuration.pullIfNewer(pulse);
-      void this.quarantine.pullIfNewer(pulse);
+    this.peers.heartbeatReceived.on((heartbeat) => {
+      this.observeEra(heartbeat);
+      if (heartbeat.paces !== undefined)
+        this.context.prefillFactors.applyPeerFactors(heartbeat.ip, heartbeat.paces);
+      if (heartbeat.coming !== undefined)
+        this.context.modelWaits.setAnnouncedLoads(heartbeat.coming, performance.now());
+      void this.configuration.pullIfNewer(heartbeat);
+      void this.quarantine.pullIfNewer(heartbeat);
       // Changes are first known to nodes that read the store.
-      if (pulse.readAgeMs !== undefined)
-        void this.fleet.pullIfNewer(pulse, this.activation.active ? "all" : "presence");
+      if (heartbeat.readAgeMs !== undefined)
+        void this.fleet.pullIfNewer(heartbeat, this.activation.active ? "all" : "presence");
     });
     this.activation.rosterReceived.on((roster) => {
       this.observeEra(roster);
@@ -334,18 +335,19 @@
     const { settings, log } = this.options;
     // The grace period starts with the signal, which a delayed process handles late.
     const startedMs = this.readUntilMs;
-    const latestMs = startedMs + settings.graceMs - exitMarginMs;
+    const exitDeadlineMs = startedMs + settings.graceMs - exitMarginMs;
     log.info({ event: "stopping", inFlight: this.callers.activeRequests });
     this.stopping = true;
-    this.callers.startDraining(latestMs);
+    this.callers.startDraining(exitDeadlineMs);
     this.activation.preventActivation();
     this.peers.sendHeartbeat();
     await Promise.all([this.lease.release(), this.member.leave()]);
     this.peers.sendHeartbeat();
     for (;;) {
       const now = performance.now();
-      if (now >= latestMs || (now - startedMs >= minDrainMs && this.callers.activeRequests === 0)) break;
-      if (now >= latestMs - finalResponsesMs) this.callers.abandonAll();
+      if (now >= exitDeadlineMs || (now - startedMs >= minDrainMs && this.callers.activeRequests === 0))
+        break;
+      if (now >= exitDeadlineMs - finalResponsesMs) this.callers.abandonAll();
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
     log.info({
--- a/src/gateway/placementTask.ts
+++ b/src/gateway/placementTask.ts
@@ -86,8 +86,8 @@
       overage: options.ceilingOverage,
     });
     this.demand = new DemandAggregator(options.context, options.peerTable);
-    options.peers.heartbeatReceived.on((pulse) => {
-      this.demand.applyHeartbeat(pulse);
+    options.peers.heartbeatReceived.on((heartbeat) => {
+      this.demand.applyHeartbeat(heartbeat);
     });
     options.peers.handle("adapter.ensure", (params) => this.onEnsureAdapter(params));
     options.peers.handle("residency", (params) => this.onResidency(params));
@@ -151,7 +151,7 @@
   /** Requests reports from unverified engines, which get no orders before. */
   private async verifyControllers(): Promise<void> {
     const { lease } = this.options;
-    // An engine that an earlier holder ordered recently may not report that order yet and stays closed until it does.
+    // An engine may not report recent orders of an earlier holder yet and stays closed until it does.
     const open = [...this.controllers.values()].filter(
       (controller) => !controller.verified && lease.mayOrder(controller.server.id),
     );
@@ -192,20 +192,20 @@
       loadsLeft: this.loadRateLimiter.remaining(limits.loadsPerS, now),
     });
     const byId = new Map(servers.map((server) => [server.id, server]));
-    let sliceMs = performance.now();
+    let sliceStartMs = performance.now();
     let usedMs = 0;
     for (const move of plan.steps()) {
       const server = move === undefined ? undefined : byId.get(move.engineId);
       if (move !== undefined && server !== undefined && this.stillFits(server, move, limits))
         void this.sendMove(server, move);
-      const tookMs = performance.now() - sliceMs;
+      const tookMs = performance.now() - sliceStartMs;
       if (tookMs < planSliceMs) continue;
       usedMs += tookMs;
       if (usedMs >= planBudgetMs) return;
       await new Promise((resolve) => setImmediate(resolve));
       // Without the lease this node must not send further orders.
       if (!this.options.lease.holding) return;
-      sliceMs = performance.now();
+      sliceStartMs = performance.now();
     }
   }
 
@@ -279,8 +279,8 @@
     const now = performance.now();
     for (const controller of this.controllers.values()) {
       for (const [name, load] of controller.loading) {
-        const usualMs = (models.find((model) => model.name === name)?.loadS ?? 0) * 1000;
-        const limitMs = load.uncertain ? 700 : Math.max(minOverdueMs, usualMs * overdueFactor);
+        const expectedMs = (models.find((model) => model.name === name)?.loadS ?? 0) * 1000;
+        const limitMs = load.uncertain ? 700 : Math.max(minOverdueMs, expectedMs * overdueFactor);
         if (now - load.sinceMs < limitMs) continue;
         // An order of unknown outcome is sent again; at most one of the two takes effect.
         if (load.uncertain)
@@ -306,9 +306,13 @@
     for (const { server, loading: pendingLoads } of this.controllers.values()) {
       const models = table.service(server.service)?.engine?.models ?? [];
       for (const [name, { sinceMs }] of pendingLoads) {
-        const usualMs = expectedLoadMs(models.find((model) => model.name === name)?.loadS ?? 0, server, name);
+        const expectedMs = expectedLoadMs(
+          models.find((model) => model.name === name)?.loadS ?? 0,
+          server,
+          name,
+        );
         const key = demandKey(server.service, name);
-        const remainingMs = Math.round(Math.max(0, sinceMs + usualMs - now));
+        const remainingMs = Math.round(Math.max(0, sinceMs + expectedMs - now));
         remainingByKey[key] = Math.min(remainingByKey[key] ?? remainingMs, remainingMs);
       }
     }
--- a/src/gateway/serverSelector.ts
+++ b/src/gateway/serverSelector.ts
@@ -100,7 +100,7 @@
       }
     } finally {
       if (counted) waitingRequests.remove(key);
-      this.waitForPermits([]);
+      this.registerPermitWait([]);
     }
   }
 
@@ -162,7 +162,7 @@
   }
 
   /** Registers the request as waiting for permits of exactly these servers. */
-  private waitForPermits(servers: readonly BackendServer[]): void {
+  private registerPermitWait(servers: readonly BackendServer[]): void {
     const key = servers.map(({ id }) => id).join(" ");
     if (key === (this.permitWait?.key ?? "")) return;
     void this.permitWait?.waiting.dispose();
@@ -188,7 +188,7 @@
       minBackoffLeftMs >= this.remainingMs ||
       (this.permitWait === undefined && expectedMs >= this.remainingMs);
     if (isTooLate && !this.candidates.anyRefusing) return false;
-    this.waitForPermits(servers.filter((server) => notices.acceptsRequests(server, now)));
+    this.registerPermitWait(servers.filter((server) => notices.acceptsRequests(server, now)));
     const sleepMs = minBackoffLeftMs > 0 ? Math.min(recheckIntervalMs, minBackoffLeftMs) : recheckIntervalMs;
     await fleetChanged.waitForNext(Math.max(1, Math.min(this.remainingMs, sleepMs)));
     return true;
