--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -131,7 +131,7 @@
       deadlines: this.deadlines,
       arrivedMs: this.arrivedMs,
       // A request that is quarantined while it waits is refused immediately.
-      isCancelled: () => this.caller.disconnected || this.abandoned || this.quarantine.remainingMs > 0,
+      isCancelled: () => this.caller.disconnected || this.abandoned || this.quarantine.timeLeftMs > 0,
       mayRun: () => this.quarantine.mayRun,
       awaitLock: () => this.quarantine.awaitLock(),
     });
@@ -229,10 +229,10 @@
    * identity whatever id the caller sent.
    */
   private refuseIfQuarantined(): boolean {
-    const { remainingMs } = this.quarantine;
-    if (remainingMs <= 0) return false;
+    const { timeLeftMs } = this.quarantine;
+    if (timeLeftMs <= 0) return false;
     this.lastFailure = "quarantined, as servers crashed while running it";
-    this.refusalRetryS = remainingMs / 1000;
+    this.refusalRetryS = timeLeftMs / 1000;
     if (this.possibleRuns > 0) this.giveUp();
     else this.refuse(new Failure("quarantined", `not run: ${this.lastFailure}`));
     return true;
--- a/src/gateway/placementTask.ts
+++ b/src/gateway/placementTask.ts
@@ -312,8 +312,8 @@
           name,
         );
         const key = demandKey(server.service, name);
-        const remainingMs = Math.round(Math.max(0, sinceMs + expectedMs - now));
-        remainingByKey[key] = Math.min(remainingByKey[key] ?? remainingMs, remainingMs);
+        const timeLeftMs = Math.round(Math.max(0, sinceMs + expectedMs - now));
+        remainingByKey[key] = Math.min(remainingByKey[key] ?? timeLeftMs, timeLeftMs);
       }
     }
     return remainingByKey;
--- a/src/gateway/quarantineCheck.ts
+++ b/src/gateway/quarantineCheck.ts
@@ -32,7 +32,7 @@
   constructor(private readonly options: QuarantineCheckOptions) {}
 
   /** Remaining quarantine of the request, ms; 0 if it may be sent now. */
-  get remainingMs(): number {
+  get timeLeftMs(): number {
     const { quarantine } = this.options.context;
     // Avoids hashing the body while nothing is quarantined.
     return quarantine.entries.size === 0 ? 0 : quarantine.remainingMs(this.fingerprint, performance.now());
--- a/src/gateway/serverSelector.ts
+++ b/src/gateway/serverSelector.ts
@@ -73,7 +73,7 @@
     let counted = false;
     try {
       for (;;) {
-        if (this.options.isCancelled() || this.remainingMs <= 0) return undefined;
+        if (this.options.isCancelled() || this.timeLeftMs <= 0) return undefined;
         const candidate = this.choose();
         if (candidate === undefined) {
           if (!counted) waitingRequests.add(key);
@@ -126,7 +126,7 @@
     this.options.context.refusals.recordAccepted(server.id, this.candidates.scope);
   }
 
-  private get remainingMs(): number {
+  private get timeLeftMs(): number {
     return this.options.deadlines.firstByteDeadlineMs - performance.now();
   }
 
@@ -185,12 +185,11 @@
     this.setRefusal(expectedMs, "all servers are throttled", Number.POSITIVE_INFINITY);
     // The permit queue is checked only once: later it also holds requests that arrived after this one.
     const isTooLate =
-      minBackoffLeftMs >= this.remainingMs ||
-      (this.permitWait === undefined && expectedMs >= this.remainingMs);
+      minBackoffLeftMs >= this.timeLeftMs || (this.permitWait === undefined && expectedMs >= this.timeLeftMs);
     if (isTooLate && !this.candidates.anyRefusing) return false;
     this.registerPermitWait(servers.filter((server) => notices.acceptsRequests(server, now)));
     const sleepMs = minBackoffLeftMs > 0 ? Math.min(recheckIntervalMs, minBackoffLeftMs) : recheckIntervalMs;
-    await fleetChanged.waitForNext(Math.max(1, Math.min(this.remainingMs, sleepMs)));
+    await fleetChanged.waitForNext(Math.max(1, Math.min(this.timeLeftMs, sleepMs)));
     return true;
   }
 
@@ -202,7 +201,7 @@
       expectedFirstByteMs: candidate.queueMs + candidate.prefillMs,
       requests: candidate.requests,
       slots: candidate.server.slots,
-      remainingMs: this.remainingMs,
+      remainingMs: this.timeLeftMs,
       callerTimeoutMs: deadlines.firstByteDeadlineMs - arrivedMs,
       targetMs: route.targetMs,
       priority: route.priority,
@@ -236,7 +235,7 @@
       }
     }
     await this.options.context.fleetChanged.waitForNext(
-      Math.max(1, Math.min(this.remainingMs, recheckIntervalMs)),
+      Math.max(1, Math.min(this.timeLeftMs, recheckIntervalMs)),
     );
     return true;
   }
@@ -252,7 +251,7 @@
    * another server; if all refused it, they are retried once after a short pause.
    */
   private async retryAllServers({ possibleRuns }: SendProgress): Promise<boolean> {
-    if (possibleRuns > 0 || this.allRetried || this.remainingMs <= recheckIntervalMs) return false;
+    if (possibleRuns > 0 || this.allRetried || this.timeLeftMs <= recheckIntervalMs) return false;
     this.allRetried = true;
     await new Promise((resolve) => setTimeout(resolve, recheckIntervalMs));
     this.candidates.tried.clear();
