--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -8,52 +8,52 @@
 import { RetryBudget, type BudgetShare } from "../serving/retryBudget.ts";
 import { CallerConnection } from "./callerConnection.ts";
 import { Exchange } from "./exchange.ts";
-import type { Placer, GatewayContext } from "./gatewayContext.ts";
+import type { PlacementClient, GatewayContext } from "./gatewayContext.ts";
 import type { RunLockTask } from "./runLockTask.ts";
 
-/** Largest head of a request Node reads, bytes; callers stay within the configured limit. */
-const maxHeadBytes = 64 * 1024;
-/** Idle callers may reuse a connection for four fifths of the idle limit; it is closed this much later, ms. */
+/** Maximum size of request headers that Node.js accepts, bytes; the configured limit for callers is lower. */
+const maxHeaderBytes = 64 * 1024;
+/** Idle connections are closed this long after the idle timeout, ms; callers reuse them for 4/5 of the timeout. */
 const idleMarginMs = 2_000;
-/** Limits until a configuration is known. */
-const firstLimits = { headerTimeoutMs: 10_000, idleTimeoutMs: 60_000 };
-/** Part of its share of the retry budget that a node begins with; the other tenth of the whole is slack for it. */
-const firstPart = 0.1;
-/** After a signal to stop, streams that arrive later than this may not end in time and are refused, ms. */
-const streamsUntilMs = 2_500;
-/** From this long before its end a stopping node refuses every new request, ms: plain calls in flight finish. */
+/** Limits until a configuration is loaded. */
+const defaultLimits = { headerTimeoutMs: 10_000, idleTimeoutMs: 60_000 };
+/** Initial fill of a node's share of the retry budget; a slack of a tenth of the whole budget covers it. */
+const initialFillRatio = 0.1;
+/** Streams that arrive later than this after the stop signal are refused, ms: they may not complete in time. */
+const acceptStreamsMs = 2_500;
+/** A stopping node refuses all new requests from this long before its exit, ms, so that calls in flight complete. */
 const refuseAllMs = 1_200;
 
 /** Options of a `CallerServer`. */
 export interface CallerServerOptions {
   readonly endpoint: Endpoint;
-  readonly serving: GatewayContext;
-  readonly placer: Placer;
+  readonly context: GatewayContext;
+  readonly placement: PlacementClient;
   readonly runLocks: Pick<RunLockTask, "acquire">;
   readonly retryRatio: number;
-  /** Retries beyond the ratio that all nodes together may make in a window. */
+  /** Retries on top of the ratio that all nodes together may make within a window. */
   readonly retryBurst: number;
-  /** Nodes that share the budget. */
-  readonly sharers: () => BudgetShare;
+  /** This node's share of the fleet-wide budget. */
+  readonly budgetShare: () => BudgetShare;
 }
 
-/** When a connection was accepted, and the earliest moment at which it may have come, ms. */
-interface Accepted {
+/** Accept time of a connection and its earliest possible arrival time, ms. */
+interface AcceptedConnection {
   readonly atMs: number;
   readonly earliestMs: number;
 }
 
-/** Accepts requests and runs an exchange for each. */
+/** Accepts caller requests and runs an `Exchange` for each. */
 export class CallerServer implements Task {
   readonly name = "callers";
   private readonly server: http.Server;
   private readonly budgets = new Map<string, RetryBudget>();
   private stopping: { readonly sinceMs: number; readonly endMs: number } | undefined;
   private readonly exchanges = new Set<Exchange>();
-  private readonly accepted = new WeakMap<net.Socket, Accepted>();
+  private readonly accepted = new WeakMap<net.Socket, AcceptedConnection>();
 
   constructor(private readonly options: CallerServerOptions) {
-    this.server = http.createServer({ maxHeaderSize: maxHeadBytes, noDelay: true }, (req, res) => {
+    this.server = http.createServer({ maxHeaderSize: maxHeaderBytes, noDelay: true }, (req, res) => {
       void this.handle(req, res);
     });
     this.server.prependListener("connection", (socket: net.Socket) => {
@@ -63,14 +63,14 @@
       res.writeContinue();
       void this.handle(req, res);
     });
-    this.limit(firstLimits);
-    options.serving.configuration.changed.on((table) => {
-      this.limit(table.configuration.limits);
+    this.applyLimits(defaultLimits);
+    options.context.configuration.changed.on((table) => {
+      this.applyLimits(table.configuration.limits);
     });
   }
 
-  /** Requests being served. */
-  get busy(): number {
+  /** Number of requests being served. */
+  get activeRequests(): number {
     return this.exchanges.size;
   }
 
@@ -79,12 +79,12 @@
     await bind(this.server, ip, port);
   }
 
-  /** From now on every answer closes its connection; new requests are still served for a while. */
-  stopSoon(endMs: number): void {
+  /** Closes connections with their next response; new requests are still served until shortly before `endMs`. */
+  startDraining(endMs: number): void {
     this.stopping = { sinceMs: performance.now(), endMs };
   }
 
-  /** Answers what can still be answered, just before the end. */
+  /** Responds to all waiting requests just before exit. */
   abandonAll(): void {
     for (const exchange of this.exchanges) exchange.abandon();
   }
@@ -93,35 +93,35 @@
     await close(this.server);
   }
 
-  private limit(limits: Pick<CallerLimits, "headerTimeoutMs" | "idleTimeoutMs">): void {
+  private applyLimits(limits: Pick<CallerLimits, "headerTimeoutMs" | "idleTimeoutMs">): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs + idleMarginMs;
-    // Node counts an unused new connection as a header on its way, so the idle limit bounds this one too.
+    // Node.js applies the headers timeout to new unused connections, so it must not be shorter than the idle timeout.
     this.server.headersTimeout = Math.max(limits.headerTimeoutMs, limits.idleTimeoutMs) + idleMarginMs;
     this.server.requestTimeout = 0;
   }
 
   private async handle(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const { serving, placer, runLocks } = this.options;
-    serving.watermark.recordRequest();
+    const { context, placement, runLocks } = this.options;
+    context.watermark.recordRequest();
     const caller = new CallerConnection({
-      ...{ req, res, codec: serving.codec },
+      ...{ req, res, codec: context.codec },
       arrivedMs: this.earliestArrivalMs(req.socket),
-      closing: () => this.stopping !== undefined,
+      stopping: () => this.stopping !== undefined,
     });
     const exchange = new Exchange({
-      serving,
-      placer,
+      context,
+      placement,
       runLocks,
       caller,
       budgetFor: (service) => this.budgetFor(service),
       refuseStreams: () =>
-        this.stopping !== undefined && performance.now() - this.stopping.sinceMs > streamsUntilMs,
+        this.stopping !== undefined && performance.now() - this.stopping.sinceMs > acceptStreamsMs,
       refuseAll: () => this.stopping !== undefined && this.stopping.endMs - performance.now() < refuseAllMs,
     });
     this.exchanges.add(exchange);
     try {
       await exchange.run();
-      // Guards "the last answers are cut at exit": ended is not yet sent, and a stopping node counts on it.
+      // An ended response may not be sent yet; a stopping node that exits now would truncate it.
       await caller.flushed();
     } finally {
       this.exchanges.delete(exchange);
@@ -129,11 +129,11 @@
   }
 
   /**
-   * Notes a new connection, or closes it unread where more connections wait than the node can serve: its caller can go to
-   * another node at once, and an answer to each would take the time of those that can be served.
+   * Records a new connection, or closes it unread when the accept queue holds more than the node can serve. The caller
+   * can go to another node immediately, and responding to each would take CPU time from requests that can be served.
    */
   private accept(socket: net.Socket): void {
-    const { watermark, metrics } = this.options.serving;
+    const { watermark, metrics } = this.options.context;
     watermark.recordAcceptedConnection();
     this.accepted.set(socket, { atMs: performance.now(), earliestMs: watermark.acceptedUpToMs });
     if (!watermark.acceptOverloaded) return;
@@ -142,24 +142,26 @@
   }
 
   /**
-   * The earliest moment at which what was just read may have arrived. Data that came with a new connection is read a turn
-   * of the event loop after the connection was accepted.
+   * Earliest possible arrival time of the data just read, ms. Data that arrives with a new connection is read one
+   * event-loop iteration after the connection was accepted.
    */
   private earliestArrivalMs(socket: net.Socket): number {
-    const { readUpToMs: ms } = this.options.serving.watermark;
+    const { readUpToMs } = this.options.context.watermark;
     const accepted = this.accepted.get(socket);
-    return accepted === undefined || accepted.atMs <= ms ? ms : Math.min(ms, accepted.earliestMs);
+    return accepted === undefined || accepted.atMs <= readUpToMs
+      ? readUpToMs
+      : Math.min(readUpToMs, accepted.earliestMs);
   }
 
   private budgetFor(service: string): RetryBudget {
     const known = this.budgets.get(service);
     if (known !== undefined) return known;
-    const { retryRatio, retryBurst, sharers } = this.options;
+    const { retryRatio, retryBurst, budgetShare } = this.options;
     const budget = new RetryBudget({
       ratio: retryRatio,
       burst: retryBurst,
-      budgetShare: sharers,
-      initialFillRatio: firstPart,
+      budgetShare,
+      initialFillRatio,
     });
     this.budgets.set(service, budget);
     return budget;
--- /dev/null
+++ b/src/gateway/serverSelector.ts
@@ -0,0 +1,279 @@
+/** Selects a server for one request, waiting for its model, adapter or a rate-limit permit if necessary. */
+import type { Disposable } from "../common/disposables.ts";
+import { admit } from "../serving/admission.ts";
+import type { BackendServer } from "../serving/backendServer.ts";
+import type { Route, Service } from "../serving/configuration.ts";
+import type { ResponseMetadata, RequestMetadata } from "../serving/exchange.ts";
+import type { RequestDeadlines } from "../serving/requestDeadlines.ts";
+import { chooseServer, type ServerEstimate } from "../serving/serverChoice.ts";
+import { ServerCandidates } from "./serverCandidates.ts";
+import { demandKey, type PlacementClient, type GatewayContext } from "./gatewayContext.ts";
+
+/** Maximum interval between checks for an available server, ms. */
+const recheckIntervalMs = 250;
+/** Interval between admission checks while engines are busy, ms: a few decoding steps. */
+const admissionRecheckMs = 50;
+/** Retry-After while servers are full or missing, s: slightly more than one placement round. */
+export const defaultRetryS = 0.5;
+/** Fraction of the caller's timeout to wait for an adapter; an adapter that gets a slot is loaded immediately. */
+const adapterWaitRatio = 0.7;
+/** Retry-After for an adapter that got no slot, ms: model loads, during which engines take no orders, last seconds. */
+const adapterRetryAfterMs = 1_000;
+/** A server that requests a shorter back-off than this, ms, gets the default back-off of refusing servers instead. */
+const minBackoffMs = 200;
+/** Maximum Retry-After, s: placement may have changed by then. */
+const maxRetryAfterS = 5;
+
+/** Options of a `ServerSelector`. */
+export interface ServerSelectorOptions {
+  readonly context: GatewayContext;
+  readonly placement: PlacementClient;
+  readonly metadata: RequestMetadata;
+  readonly route: Route;
+  readonly service: Service;
+  readonly deadlines: RequestDeadlines;
+  readonly arrivedMs: number;
+  /** Whether to stop waiting: the caller disconnected, the node stops or the request was quarantined. */
+  readonly isCancelled: () => boolean;
+  /** Whether the request may run now, given that duplicates of a suspected request run one at a time. */
+  readonly mayRun: () => boolean;
+  /** Tries to acquire the run lock; sleeps briefly if it is taken. */
+  readonly awaitLock: () => Promise<void>;
+}
+
+/** Sends of the request so far. */
+export interface SendProgress {
+  readonly sends: number;
+  /** Sends after which the server may have run the request. */
+  readonly possibleRuns: number;
+}
+
+/** Server selection of one request. */
+export class ServerSelector {
+  /** Why no server was selected, for the log and the caller. */
+  refusal = "";
+  /** Retry-After for the caller, s. */
+  retryAfterS = defaultRetryS;
+  private readonly candidates: ServerCandidates;
+  private allRetried = false;
+  /** The servers whose permits the request waits for. */
+  private permitWait: { readonly key: string; readonly waiting: Disposable } | undefined;
+
+  constructor(private readonly options: ServerSelectorOptions) {
+    this.candidates = new ServerCandidates(options);
+  }
+
+  /**
+   * Resolves with the best server as soon as there is one, or undefined once waiting is pointless. After each wait the
+   * sockets are read first, as the caller may have disconnected meanwhile.
+   */
+  async waitForServer(progress: SendProgress): Promise<ServerEstimate | undefined> {
+    const key = demandKey(this.options.service.name, this.candidates.scope);
+    const { waitingRequests } = this.options.context;
+    let counted = false;
+    try {
+      for (;;) {
+        if (this.options.isCancelled() || this.timeLeftMs <= 0) return undefined;
+        const candidate = this.choose();
+        if (candidate === undefined) {
+          if (!counted) waitingRequests.add(key);
+          counted = true;
+          if (!(await this.waitForCandidate(progress))) return undefined;
+          await this.options.context.watermark.waitUntilCaughtUp();
+          continue;
+        }
+        const decision = this.admissionFor(candidate, progress);
+        if (decision === "send") {
+          if (!this.options.mayRun()) {
+            await this.options.awaitLock();
+            await this.options.context.watermark.waitUntilCaughtUp();
+            continue;
+          }
+          this.candidates.tried.add(candidate.server.id);
+          this.options.context.modelWaits.markAvailable(key);
+          this.recordSend(candidate.server);
+          return candidate;
+        }
+        if (decision === "refuse") return undefined;
+        await new Promise((resolve) => setTimeout(resolve, admissionRecheckMs));
+        await this.options.context.watermark.waitUntilCaughtUp();
+      }
+    } finally {
+      if (counted) waitingRequests.remove(key);
+      this.registerPermitWait([]);
+    }
+  }
+
+  /** Whether another server could be sent the request now. */
+  hasAlternative(): boolean {
+    return this.choose() !== undefined;
+  }
+
+  /** A server that refused may be tried again once it accepts requests or holds the model. */
+  recordRefusal(server: BackendServer, response: ResponseMetadata): void {
+    const { model, adapter } = this.options.metadata;
+    const { refusals, fleet } = this.options.context;
+    const now = performance.now();
+    this.candidates.tried.delete(server.id);
+    if ((response.notice.retryAfterMs ?? 0) >= minBackoffMs) return;
+    if (!response.wrongServer) refusals.recordRefusal(server.id, this.candidates.scope, now);
+    else if (model !== undefined) fleet.markAbsent(server, model, adapter, now);
+    // Another incarnation has the address, so this server no longer exists.
+    else this.candidates.tried.add(server.id);
+  }
+
+  recordAccepted(server: BackendServer): void {
+    this.options.context.refusals.recordAccepted(server.id, this.candidates.scope);
+  }
+
+  private get timeLeftMs(): number {
+    return this.options.deadlines.firstByteDeadlineMs - performance.now();
+  }
+
+  private choose(): ServerEstimate | undefined {
+    const { metadata, service, context } = this.options;
+    const now = performance.now();
+    return chooseServer({
+      candidates: this.candidates.ready,
+      zone: context.zone,
+      randomDraw: Math.random(),
+      tried: this.candidates.tried,
+      promptTokens: metadata.promptTokens,
+      prefillFactor: context.prefillFactors.factorOf(
+        service.engine?.models.find((m) => m.name === metadata.model),
+      ),
+      overheadMs: context.prefillFactors.overheadMs,
+      slotWaitMs: (requests, slots) => context.engineSpeed.slotWaitMs(requests, slots),
+      prefix: metadata.prefix,
+      cacheScope: `${metadata.model ?? ""}/${metadata.adapter ?? ""}`,
+      load: (id) => context.loads.loadOf(id, now),
+      health: (id) => context.outliers.health(id, now),
+    });
+  }
+
+  private recordSend(server: BackendServer): void {
+    const { notices, permits } = this.options.context;
+    const now = performance.now();
+    notices.recordSend(server, now);
+    permits.consume(server);
+    // The next similar request may use the spare capacity of a rate-limited server.
+    const limited = this.candidates.throttled.filter((other) => notices.acceptsRequests(other, now));
+    if (limited.length > 0) permits.requestSpare(limited, now);
+  }
+
+  /** Registers the request as waiting for permits of exactly these servers. */
+  private registerPermitWait(servers: readonly BackendServer[]): void {
+    const key = servers.map(({ id }) => id).join(" ");
+    if (key === (this.permitWait?.key ?? "")) return;
+    void this.permitWait?.waiting.dispose();
+    this.permitWait = undefined;
+    if (servers.length === 0) return;
+    const waiting = this.options.context.permits.wait(servers, this.options.arrivedMs);
+    this.permitWait = { key, waiting };
+  }
+
+  /** Waits until a throttled server may accept requests again; resolves with false if none will before the deadline. */
+  private async waitForThrottled(servers: readonly BackendServer[]): Promise<boolean> {
+    const { notices, permits, fleetChanged } = this.options.context;
+    const now = performance.now();
+    const backoffsMs = servers.map((server) => notices.backoffRemainingMs(server, now));
+    const minBackoffLeftMs = Math.min(...backoffsMs);
+    const waitsMs = servers.map((server, i) =>
+      Math.max(backoffsMs[i] ?? 0, permits.expectedWaitMs(server, now)),
+    );
+    const expectedMs = Math.min(...waitsMs);
+    this.setRefusal(expectedMs, "all servers are throttled", Number.POSITIVE_INFINITY);
+    // The permit queue is checked only once: later it also holds requests that arrived after this one.
+    const isTooLate =
+      minBackoffLeftMs >= this.timeLeftMs || (this.permitWait === undefined && expectedMs >= this.timeLeftMs);
+    if (isTooLate && !this.candidates.anyRefusing) return false;
+    this.registerPermitWait(servers.filter((server) => notices.acceptsRequests(server, now)));
+    const sleepMs = minBackoffLeftMs > 0 ? Math.min(recheckIntervalMs, minBackoffLeftMs) : recheckIntervalMs;
+    await fleetChanged.waitForNext(Math.max(1, Math.min(this.timeLeftMs, sleepMs)));
+    return true;
+  }
+
+  private admissionFor(candidate: ServerEstimate, { sends }: SendProgress): "send" | "wait" | "refuse" {
+    const { route, service, deadlines, arrivedMs } = this.options;
+    if (sends > 0 || service.engine === undefined) return "send";
+    const admission = admit({
+      queueMs: candidate.queueMs,
+      expectedFirstByteMs: candidate.queueMs + candidate.prefillMs,
+      requests: candidate.requests,
+      slots: candidate.server.slots,
+      remainingMs: this.timeLeftMs,
+      callerTimeoutMs: deadlines.firstByteDeadlineMs - arrivedMs,
+      targetMs: route.targetMs,
+      priority: route.priority,
+    });
+    if (admission.kind === "refuse") {
+      this.setRefusal(
+        admission.retryAfterMs,
+        `first byte expected in ${Math.round(candidate.expectedMs)} ms`,
+      );
+    }
+    return admission.kind;
+  }
+
+  /** Waits until a server may be available; resolves with false if none will be before the deadline. */
+  private async waitForCandidate(progress: SendProgress): Promise<boolean> {
+    const { throttled } = this.candidates;
+    if (throttled.length > 0) {
+      this.options.placement.demandChanged();
+      return this.waitForThrottled(throttled);
+    }
+    if (this.candidates.tried.size > 0) return this.retryAllServers(progress);
+    this.options.placement.demandChanged();
+    if (this.modelLoadsTooLate()) return false;
+    const { model, adapter } = this.options.metadata;
+    if (model !== undefined && adapter !== undefined && this.candidates.hasModel) {
+      await this.options.placement.ensureAdapter(this.options.service.name, model, adapter);
+      if (this.choose() !== undefined) return true;
+      if (this.adapterWaitExceeded()) {
+        this.setRefusal(adapterRetryAfterMs, "no adapter slot is free yet");
+        return false;
+      }
+    }
+    await this.options.context.fleetChanged.waitForNext(
+      Math.max(1, Math.min(this.timeLeftMs, recheckIntervalMs)),
+    );
+    return true;
+  }
+
+  /** Whether the wait for the adapter is too long; the request is then refused while its caller can still retry. */
+  private adapterWaitExceeded(): boolean {
+    const { deadlines, arrivedMs } = this.options;
+    return performance.now() - arrivedMs > adapterWaitRatio * (deadlines.firstByteDeadlineMs - arrivedMs);
+  }
+
+  /**
+   * Called when every server was tried. If one may have run the request, waiting until the timeout would not yield
+   * another server; if all refused it, they are retried once after a short pause.
+   */
+  private async retryAllServers({ possibleRuns }: SendProgress): Promise<boolean> {
+    if (possibleRuns > 0 || this.allRetried || this.timeLeftMs <= recheckIntervalMs) return false;
+    this.allRetried = true;
+    await new Promise((resolve) => setTimeout(resolve, recheckIntervalMs));
+    this.candidates.tried.clear();
+    return true;
+  }
+
+  /** Whether the model will be loaded only after the caller's deadline; the request is then refused immediately. */
+  private modelLoadsTooLate(): boolean {
+    const { metadata, service, context, deadlines } = this.options;
+    const model = service.engine?.models.find((m) => m.name === metadata.model);
+    if (model === undefined || this.candidates.hasModel) return false;
+    const now = performance.now();
+    const key = demandKey(service.name, model.name);
+    const servers = context.fleet.available(service.name);
+    const expectedMs = context.modelWaits.estimateMs(key, model, servers, now);
+    if (now + expectedMs < deadlines.firstByteDeadlineMs) return false;
+    this.setRefusal(expectedMs, `model expected in ${Math.round(expectedMs)} ms`);
+    return true;
+  }
+
+  private setRefusal(retryAfterMs: number, reason: string, maxS = maxRetryAfterS): void {
+    this.retryAfterS = Math.min(maxS, Math.max(0.1, retryAfterMs / 1000));
+    this.refusal = reason;
+  }
+}
