--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -1,6 +1,6 @@
 /**
- * Makes this node active or lets it stand by, and keeps one that stands by informed: it asks two active nodes in turn
- * who is active and what they know, and pulls from them what is new.
+ * Decides whether this node is active or on standby, and keeps a standby node up to date: it polls two active nodes in
+ * turn for the roster and for the revisions that they know, and pulls what is newer.
  */
 import * as Schema from "effect/Schema";
 import { decodeEither } from "../common/decode.ts";
@@ -27,57 +27,57 @@
 import type { PeerTask } from "./peerTask.ts";
 
 /**
- * Period of looks, ms. Active nodes tell those that stand by of changes this much later at most, so callers that ask one
- * of these which addresses to use hear of a lost node that much later.
+ * Period of checks, ms. Active nodes notify standby nodes of changes with at most this delay, so callers that query the
+ * directory of a standby node learn of a lost node that much later.
  */
 const periodMs = 600;
 /**
- * Pause between questions of a node that stands by, ms. Nearly all that it does is to ask and be asked, and hundreds do
- * so; changes are told without a question.
+ * Interval between a standby node's polls, ms. Polling and answering polls is nearly all the work of standby nodes, and
+ * there may be hundreds of them; changes are sent without a poll.
  */
-const askMs = 1_200;
+const pollIntervalMs = 1_200;
 /**
- * The same of an active node, ms: it hears the others by itself, but those that became active at the same moment are known
- * only to a third.
+ * The same for an active node, ms: it receives the others' heartbeats anyway, but nodes that became active at the same
+ * moment don't know each other and learn of each other only from a third one.
  */
-const activeAskMs = 4_800;
-/** It asks at every look until it has been active for this long, ms: the one asked may be as new. */
-const newMs = 3_000;
-/** Active nodes that one standing by asks in turn: with one lost, the other still tells it of changes. */
-const anchorCount = 2;
-/** A question counts as unanswered once all that came within this time is read, ms. */
-const answerMs = periodMs / 2;
-/** Questions in a row that an active node may leave unanswered, as datagrams are lost; then it counts as dead. */
-const mostUnanswered = 2;
-/** Pause after a change was told until more is told before the next look, ms: use goes up and down around a step. */
-const promptMs = 200;
-/** A node that didn't ask for this long, ms, isn't told of changes any more: three questions to each anchor. */
-const listenerMs = 6 * askMs;
+const activePollIntervalMs = 4_800;
+/** An active node polls at every check until it has been active for this long, ms: the polled node may be as new. */
+const recentActivationMs = 3_000;
+/** Active nodes that a standby node polls in turn: if one is lost, the other still sends it changes. */
+const rosterSourceCount = 2;
+/** A poll counts as unanswered once all datagrams that arrived within this time have been read, ms. */
+const responseTimeoutMs = periodMs / 2;
+/** Consecutive polls left unanswered after which an active node counts as dead; more than one, as datagrams are lost. */
+const maxUnansweredPolls = 2;
+/** Minimum time between an update and one sent before the next check, ms: utilization fluctuates around a threshold. */
+const minUpdateIntervalMs = 200;
+/** A node that hasn't polled for this long, ms, is sent no more changes: three polls of each roster source. */
+const subscriptionTtlMs = 6 * pollIntervalMs;
 /**
- * A node takes over when one is missing for this long, ms, and as much longer for each other node whose turn comes
- * before: it may be dead, and word of one that took over takes a period or two.
+ * A standby node becomes active when one has been missing for `activationDelayMs`, and `activationTurnMs` later for each
+ * turn before its own: the nodes of that turn may be dead, and news of one that became active takes a period or two.
  */
-const missingMs = 400;
-const turnMs = 700;
-/** Nodes ahead that are waited for: with hundreds in a zone most of them dead, one still takes over in seconds. */
-const mostTurns = 6;
+const activationDelayMs = 400;
+const activationTurnMs = 700;
+/** Turns that are waited for at most: with hundreds of nodes in a zone, most of them dead, one still takes over in seconds. */
+const maxActivationTurns = 6;
 /**
- * A surplus node retires when it is one for this long, ms, and as much longer for each other node whose turn comes before:
- * after a start all hear of each other within a second.
+ * A surplus node returns to standby after `retirementDelayMs`, and `retirementTurnMs` later for each node whose turn comes
+ * before its own. The delay is longer than the second within which all nodes learn of each other after a start.
  */
-const surplusMs = 1_500;
-const retireTurnMs = 1_000;
+const retirementDelayMs = 1_500;
+const retirementTurnMs = 1_000;
 
-const AskParams = Schema.Struct({ node: Member, digest: Schema.String });
+const RosterRequest = Schema.Struct({ node: Member, digest: Schema.String });
 
-/** Leaves out what only a pulse holds. */
-const encodeStanding = Schema.encodeSync(RosterNodeStatus);
+/** Omits the fields that only heartbeats carry. */
+const encodeStatus = Schema.encodeSync(RosterNodeStatus);
 
-/** A node that stands by and asked lately. */
-interface Listener {
+/** A standby node that polled recently. */
+interface Subscriber {
   readonly node: Member;
-  readonly askedMs: number;
-  /** Of the roster that it knows. */
+  readonly requestedMs: number;
+  /** Digest of the roster that it knows. */
   digest: string;
 }
 
@@ -85,98 +85,98 @@
 export interface ActivationTaskOptions {
   readonly log: Log;
   readonly table: PeerTable;
-  /** Everything that arrived before this moment has been read, ms: a peer is silent as of then, not as of now. */
+  /** All input that arrived before this time has been read, ms; a peer's silence is measured up to it, not up to now. */
   readonly readUntilMs: () => number;
-  readonly peers: Pick<PeerTask, "handle" | "heartbeatReceived" | "tellEveryone" | "tellOne">;
-  /** This node as its peers see it. */
+  readonly peers: Pick<PeerTask, "handle" | "heartbeatReceived" | "broadcastHeartbeat" | "notifyOne">;
+  /** This node's status as its peers see it. */
   readonly standing: () => NodeStatus;
-  /** Revision of the newest change of which servers there are. */
+  /** Revision of the newest change to the set of servers. */
   readonly presenceRevision: () => number;
-  /** The store's position of the newest change of quarantined requests. */
+  /** Store position of the newest change to the quarantine. */
   readonly quarantinePosition: () => StorePosition;
-  /** Time since any active node read the store, as far as is known, ms; infinite if none did. */
+  /** Time since any active node is known to have read the store, ms; infinite if none is. */
   readonly readAgeMs: () => number;
-  /** Does the node hold the placement lease? */
+  /** Whether the node holds the placement lease. */
   readonly holdsLease: () => boolean;
-  /** Gives the placement lease up. */
+  /** Gives up the placement lease. */
   readonly stepDown: () => Promise<void>;
-  /** Does the node know the other nodes, from the store or from peers, or has it waited long enough? */
+  /** Whether the node knows the other nodes, from the store or from peers, or has waited long enough. */
   readonly membershipKnown: () => boolean;
-  /** By how many nodes a zone may grow in a step. */
+  /** Maximum number of nodes by which a zone grows in one step. */
   readonly mostPerStep?: number;
 }
 
-/** Owns the node's state. */
+/** Owns the node's activation state: active or standby. */
 export class ActivationTask extends PeriodicTask {
-  /** The node became active, or stands by from now on. */
+  /** Fired with true when the node becomes active, with false when it returns to standby. */
   readonly changed = new Emitter<boolean>();
-  /** What an active node told this one, which stands by. */
+  /** Fired with each roster that this node receives while on standby. */
   readonly rosterReceived = new Emitter<Roster>();
-  private activeNow = false;
+  private isActive = false;
   private stopping = false;
-  /** Of the next decision, if a wait ends before the next look. */
-  private timer: NodeJS.Timeout | undefined;
-  /** Since when a place for this node is empty, or it is one too many, ms. */
-  private dueSinceMs: number | undefined;
-  /** Its turn to become active when it last decided; one that comes nearer is waited for anew. */
+  /** Timer of the next decision, if it is due before the next check. */
+  private decisionTimer: NodeJS.Timeout | undefined;
+  /** Since when another active node has been needed, or this one has been surplus, ms. */
+  private conditionSinceMs: number | undefined;
+  /** Its turn to become active as of the last decision; the wait starts anew when the turn moves up. */
   private turn = 0;
-  /** When it became active, or stood by again, ms. */
-  private becameMs = Number.NEGATIVE_INFINITY;
-  private rounds = 0;
-  private askedMs = Number.NEGATIVE_INFINITY;
-  /** The active node that was asked last and has not answered. */
-  private unanswered: string | undefined;
+  /** When it last became active or returned to standby, ms. */
+  private stateChangedMs = Number.NEGATIVE_INFINITY;
+  private pollCount = 0;
+  private lastPollMs = Number.NEGATIVE_INFINITY;
+  /** The active node that was polled last and has not answered. */
+  private pendingSource: string | undefined;
   private readonly unansweredCounts = new Map<string, number>();
-  private readonly listeners = new Map<string, Listener>();
-  /** What listeners were told last. */
-  private toldKey = "";
-  private toldCrowding = 0;
-  private toldMs = Number.NEGATIVE_INFINITY;
-  /** Digest of the roster that each active node told last. */
+  private readonly subscribers = new Map<string, Subscriber>();
+  /** The state that subscribers were last sent. */
+  private sentKey = "";
+  private sentOverutilization = 0;
+  private sentMs = Number.NEGATIVE_INFINITY;
+  /** Digest of the last roster from each active node. */
   private readonly digests = new Map<string, string>();
-  /** Who told of the store lately: how old its read was, and when it told, ms. */
-  private readHeard: { readonly ageMs: number; readonly atMs: number } | undefined;
+  /** The last reported read of the store: its age then, and when it was reported, ms. */
+  private reportedRead: { readonly ageMs: number; readonly atMs: number } | undefined;
 
   constructor(private readonly options: ActivationTaskOptions) {
     super("activation", periodMs, options.log);
     options.peers.handle("roster.ask", (params) => {
-      this.onAsk(params);
+      this.onRosterRequest(params);
     });
     options.peers.handle("roster", (params) => {
       this.onRoster(params);
     });
-    options.peers.heartbeatReceived.on((pulse) => {
-      this.onPulse(pulse);
+    options.peers.heartbeatReceived.on((heartbeat) => {
+      this.onHeartbeat(heartbeat);
     });
   }
 
-  /** Does the node take callers, rather than stand by? */
+  /** Whether the node is active and serves callers, rather than on standby. */
   get active(): boolean {
-    return this.activeNow;
+    return this.isActive;
   }
 
-  /** Time since any active node read the store, as a node that stands by hears it, ms. */
+  /** Time since any active node read the store, as reported to this node while on standby, ms. */
   get reportedReadAgeMs(): number {
-    if (this.readHeard === undefined) return Number.POSITIVE_INFINITY;
-    return this.readHeard.ageMs + performance.now() - this.readHeard.atMs;
+    if (this.reportedRead === undefined) return Number.POSITIVE_INFINITY;
+    return this.reportedRead.ageMs + performance.now() - this.reportedRead.atMs;
   }
 
-  /** The node stops: it becomes active no more. */
+  /** Called when the node is stopping: it doesn't become active any more. */
   preventActivation(): void {
     this.stopping = true;
   }
 
   override async dispose(): Promise<void> {
     this.preventActivation();
-    clearTimeout(this.timer);
+    clearTimeout(this.decisionTimer);
     await super.dispose();
   }
 
   protected override step(): Promise<void> {
-    if (this.activeNow) {
-      this.tellListeners();
-      this.askForStrangers();
-    } else this.askAnchor();
+    if (this.isActive) {
+      this.notifySubscribers();
+      this.pollForUnknownPeers();
+    } else this.pollRosterSource();
     this.decide();
     return Promise.resolve();
   }
@@ -191,174 +191,177 @@
       knownNodes: table.knownNodes,
       mostPerStep: this.options.mostPerStep,
     };
-    if (this.activeNow) {
+    if (this.isActive) {
       const turn = turnsBeforeRetirement(view);
-      const dueMs = this.dueFor(turn !== undefined, now);
-      if (turn !== undefined && dueMs >= surplusMs + turn * retireTurnMs) this.retire(view.active);
+      const heldMs = this.conditionHeldMs(turn !== undefined, now);
+      if (turn !== undefined && heldMs >= retirementDelayMs + turn * retirementTurnMs)
+        this.retire(view.active);
       return;
     }
     const turn = turnsBeforeActivation(view);
-    // Guards "nodes beyond the plan step in beside it": while it is carried out, old word of use mixes with new.
-    if (turn !== undefined && turn < this.turn) this.dueSinceMs = undefined;
+    // Prevents more nodes than planned from becoming active: during a step, reports of utilization from before and after
+    // it are mixed.
+    if (turn !== undefined && turn < this.turn) this.conditionSinceMs = undefined;
     this.turn = turn ?? 0;
-    const dueMs = this.dueFor(turn !== undefined, now);
+    const heldMs = this.conditionHeldMs(turn !== undefined, now);
     if (turn === undefined) return;
-    // At a start nobody is known to be active, and those that come first needn't wait for others.
+    // At a start no node is known to be active, and the first ones needn't wait for others.
     const first = isSmallFleet(view.knownNodes) || (turn === 0 && view.active.length === 0);
-    const waitMs = first ? 0 : missingMs + Math.min(mostTurns, turn) * turnMs;
-    if (dueMs >= waitMs) this.become(true, view.active);
-    else this.decideIn(waitMs - dueMs);
+    const waitMs = first ? 0 : activationDelayMs + Math.min(maxActivationTurns, turn) * activationTurnMs;
+    if (heldMs >= waitMs) this.setActive(true, view.active);
+    else this.decideAfter(waitMs - heldMs);
   }
 
-  /** Decides again when a wait ends, after the word that has come meanwhile was read. */
-  private decideIn(ms: number): void {
-    clearTimeout(this.timer);
-    this.timer = setTimeout(() => {
+  /** Decides again after `ms`, once the messages that arrived meanwhile have been read. */
+  private decideAfter(ms: number): void {
+    clearTimeout(this.decisionTimer);
+    this.decisionTimer = setTimeout(() => {
       setImmediate(() => {
-        if (!this.activeNow) this.decide();
+        if (!this.isActive) this.decide();
       });
     }, ms);
-    this.timer.unref();
+    this.decisionTimer.unref();
   }
 
-  /** For how long the condition has held, ms. */
-  private dueFor(due: boolean, now: number): number {
-    if (!due) {
-      this.dueSinceMs = undefined;
+  /** How long the condition has held, ms. */
+  private conditionHeldMs(holds: boolean, now: number): number {
+    if (!holds) {
+      this.conditionSinceMs = undefined;
       return Number.NEGATIVE_INFINITY;
     }
-    this.dueSinceMs ??= now;
-    return now - this.dueSinceMs;
+    this.conditionSinceMs ??= now;
+    return now - this.conditionSinceMs;
   }
 
   /**
-   * A holder gives its lease up first, and retires at the next look. Guards "a small host plans for good": it took the
-   * lease while stronger ones were starting.
+   * A lease holder steps down first and returns to standby at the next check. Otherwise a small host that took the lease
+   * while larger ones were starting would plan placement for as long as it lives.
    */
   private retire(others: readonly ActiveNode[]): void {
     if (this.options.holdsLease()) void this.options.stepDown();
-    else this.become(false, others);
+    else this.setActive(false, others);
   }
 
-  private become(active: boolean, others: readonly ActiveNode[]): void {
-    this.activeNow = active;
-    this.dueSinceMs = undefined;
+  private setActive(active: boolean, others: readonly ActiveNode[]): void {
+    this.isActive = active;
+    this.conditionSinceMs = undefined;
     this.options.table.clearRosters();
     this.digests.clear();
-    this.listeners.clear();
-    this.becameMs = performance.now();
-    this.unanswered = undefined;
+    this.subscribers.clear();
+    this.stateChangedMs = performance.now();
+    this.pendingSource = undefined;
     const { zone } = this.options.standing();
     const inZone = others.filter((node) => node.zone === zone).map(({ ip, busy }) => `${ip} ${busy}`);
     this.options.log.info({ event: active ? "activated" : "retired", others: others.length, inZone });
-    this.options.peers.tellEveryone();
+    this.options.peers.broadcastHeartbeat();
     this.changed.fire(active);
   }
 
-  private askAnchor(): void {
+  private pollRosterSource(): void {
     const now = performance.now();
     const { table, peers, readUntilMs } = this.options;
-    const late = this.unanswered;
-    if (late === undefined && now - this.askedMs < askMs - periodMs / 2) return;
-    if (late !== undefined && readUntilMs() - this.askedMs < answerMs) return;
-    if (late !== undefined) this.noteUnanswered(late);
+    const pending = this.pendingSource;
+    if (pending === undefined && now - this.lastPollMs < pollIntervalMs - periodMs / 2) return;
+    if (pending !== undefined && readUntilMs() - this.lastPollMs < responseTimeoutMs) return;
+    if (pending !== undefined) this.noteUnanswered(pending);
     const { ip, port, zone, strength } = this.options.standing();
     const node = { ip, port, zone, strength };
-    const anchors = table.rosterSources(readUntilMs()).slice(0, anchorCount);
-    this.rounds += 1;
-    this.askedMs = now;
-    const anchor = anchors[this.rounds % Math.max(1, anchors.length)];
-    this.unanswered = anchor?.ip;
-    // Nobody is known to be active: all that may be are asked.
-    const asked = anchor === undefined ? table.recipients(readUntilMs(), true) : [anchor];
-    for (const peer of asked)
-      peers.tellOne("roster.ask", { node, digest: this.digests.get(peer.ip) ?? "" }, peer);
+    const sources = table.rosterSources(readUntilMs()).slice(0, rosterSourceCount);
+    this.pollCount += 1;
+    this.lastPollMs = now;
+    const source = sources[this.pollCount % Math.max(1, sources.length)];
+    this.pendingSource = source?.ip;
+    // If no node is known to be active, all that may be are polled.
+    const recipients = source === undefined ? table.recipients(readUntilMs(), true) : [source];
+    for (const peer of recipients)
+      peers.notifyOne("roster.ask", { node, digest: this.digests.get(peer.ip) ?? "" }, peer);
   }
 
-  private askForStrangers(): void {
+  private pollForUnknownPeers(): void {
     const now = performance.now();
     const { table, peers, readUntilMs } = this.options;
-    const pauseMs = now - this.becameMs < newMs ? 0 : activeAskMs;
-    if (now - this.askedMs < pauseMs || isSmallFleet(table.knownNodes)) return;
-    const anchors = table.rosterSources(readUntilMs());
-    this.rounds += 1;
-    this.askedMs = now;
-    const anchor = anchors[this.rounds % Math.max(1, anchors.length)];
-    if (anchor === undefined) return;
+    const intervalMs = now - this.stateChangedMs < recentActivationMs ? 0 : activePollIntervalMs;
+    if (now - this.lastPollMs < intervalMs || isSmallFleet(table.knownNodes)) return;
+    const sources = table.rosterSources(readUntilMs());
+    this.pollCount += 1;
+    this.lastPollMs = now;
+    const source = sources[this.pollCount % Math.max(1, sources.length)];
+    if (source === undefined) return;
     const { ip, port, zone, strength } = this.options.standing();
     const node = { ip, port, zone, strength };
-    peers.tellOne("roster.ask", { node, digest: this.digests.get(anchor.ip) ?? "" }, anchor);
+    peers.notifyOne("roster.ask", { node, digest: this.digests.get(source.ip) ?? "" }, source);
   }
 
   private noteUnanswered(ip: string): void {
     const count = (this.unansweredCounts.get(ip) ?? 0) + 1;
     this.unansweredCounts.set(ip, count);
-    if (count < mostUnanswered) return;
+    if (count < maxUnansweredPolls) return;
     this.unansweredCounts.delete(ip);
     this.options.table.markDead(ip);
     this.digests.delete(ip);
   }
 
-  /** Tells those that stand by what changed since they were told. */
-  private tellListeners(): void {
+  /** Sends standby nodes what changed since the last update. */
+  private notifySubscribers(): void {
     const now = performance.now();
     const roster = this.roster();
     const { digest, version, fleetRevision, quarantinePosition = initialPosition, storeEra } = roster;
     const key = [digest, version, fleetRevision, formatPosition(quarantinePosition), storeEra].join(" ");
-    if (key === this.toldKey) return;
-    this.toldKey = key;
-    this.toldMs = now;
-    this.toldCrowding = this.crowding(this.options.standing());
-    for (const [ip, listener] of this.listeners) {
-      if (now - listener.askedMs >= listenerMs) this.listeners.delete(ip);
-      else this.tellListener(listener, roster);
+    if (key === this.sentKey) return;
+    this.sentKey = key;
+    this.sentMs = now;
+    this.sentOverutilization = this.overutilization(this.options.standing());
+    for (const [ip, subscriber] of this.subscribers) {
+      if (now - subscriber.requestedMs >= subscriptionTtlMs) this.subscribers.delete(ip);
+      else this.sendRoster(subscriber, roster);
     }
   }
 
-  /** Tells at once, not at the next look, that more nodes are wanted or that none are any more. */
-  private onPulse(pulse: Heartbeat): void {
-    if (!this.activeNow || (this.toldCrowding === 0 && !isOverutilized([pulse]))) return;
+  /** Sends an update at once, without waiting for the next check, when more nodes are needed or none are any more. */
+  private onHeartbeat(heartbeat: Heartbeat): void {
+    if (!this.isActive || (this.sentOverutilization === 0 && !isOverutilized([heartbeat]))) return;
     const now = performance.now();
     const self = this.options.standing();
-    if (pulse.zone !== self.zone || now - this.toldMs < promptMs) return;
-    const crowding = this.crowding(self);
-    if (crowding > this.toldCrowding || (crowding === 0 && this.toldCrowding > 0)) this.tellListeners();
+    if (heartbeat.zone !== self.zone || now - this.sentMs < minUpdateIntervalMs) return;
+    const overutilization = this.overutilization(self);
+    if (overutilization > this.sentOverutilization || (overutilization === 0 && this.sentOverutilization > 0))
+      this.notifySubscribers();
   }
 
-  private tellListener(listener: Listener, roster: Roster): void {
-    const known = listener.digest === roster.digest;
-    const told = known ? roster : { ...roster, entries: this.entries() };
-    this.options.peers.tellOne("roster", told, listener.node);
-    listener.digest = roster.digest;
+  private sendRoster(subscriber: Subscriber, roster: Roster): void {
+    const known = subscriber.digest === roster.digest;
+    const message = known ? roster : { ...roster, entries: this.entries() };
+    this.options.peers.notifyOne("roster", message, subscriber.node);
+    subscriber.digest = roster.digest;
   }
 
-  private onAsk(params: unknown): void {
-    decodeEither(AskParams, params)
+  private onRosterRequest(params: unknown): void {
+    decodeEither(RosterRequest, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight(({ node, digest }) => {
-        // One that started later than this node is missing from the list that it read.
+        // A node that started later than this one is missing from the list that this one read.
         this.options.table.addLiveNode(node);
         const now = performance.now();
-        const listener = { node, askedMs: now, digest };
-        const hearsPulses = this.options.table
+        const subscriber = { node, requestedMs: now, digest };
+        const receivesHeartbeats = this.options.table
           .alive(this.options.readUntilMs())
-          .some(({ status: pulse }) => pulse.ip === node.ip);
-        if (!hearsPulses) this.listeners.set(node.ip, listener);
-        this.tellListener(listener, this.roster());
+          .some(({ status }) => status.ip === node.ip);
+        if (!receivesHeartbeats) this.subscribers.set(node.ip, subscriber);
+        this.sendRoster(subscriber, this.roster());
       });
   }
 
-  /** The roster without entries. */
+  /** This node's roster message, without entries. */
   private roster(): Roster {
     const { table, readAgeMs, readUntilMs } = this.options;
     const self = this.options.standing();
     const { host, boot, ip, port, version, storeEra } = self;
     const fleetRevision = this.options.presenceRevision();
     const quarantinePosition = this.options.quarantinePosition();
-    const crowding = this.crowding(self);
-    const digest = `${table.digest(readUntilMs())} ${String(this.activeNow)} ${String(self.ready)} ${crowding}`;
+    const overutilization = this.overutilization(self);
+    const digest = `${table.digest(readUntilMs())} ${String(this.isActive)} ${String(self.ready)} ${overutilization}`;
     const age = readAgeMs();
     const read = Number.isFinite(age) ? { readAgeMs: Math.round(age) } : {};
     const era = storeEra === undefined ? {} : { storeEra };
@@ -366,20 +369,20 @@
     return { host, boot, ip, port, ...known, digest, ...read };
   }
 
-  /** Only of this zone: what other zones use is told by their own nodes. */
-  private crowding(self: NodeStatus): number {
-    const nodes = this.activeNow ? [...this.options.table.active(this.options.readUntilMs()), self] : [];
+  /** Only for this zone: the nodes of other zones report their own. */
+  private overutilization(self: NodeStatus): number {
+    const nodes = this.isActive ? [...this.options.table.active(this.options.readUntilMs()), self] : [];
     return overutilizationLevel(nodes.filter(({ zone }) => zone === self.zone));
   }
 
   private entries(): Roster["entries"] {
     const { table, readUntilMs } = this.options;
     const readMs = readUntilMs();
-    const entries = table.alive(readMs).map(({ status: pulse, lastHeardMs: heardMs }) => ({
-      standing: encodeStanding(pulse),
-      ageMs: Math.max(0, Math.round(readMs - heardMs)),
+    const entries = table.alive(readMs).map(({ status, lastHeardMs }) => ({
+      standing: encodeStatus(status),
+      ageMs: Math.max(0, Math.round(readMs - lastHeardMs)),
     }));
-    if (this.activeNow) entries.push({ standing: encodeStanding(this.options.standing()), ageMs: 0 });
+    if (this.isActive) entries.push({ standing: encodeStatus(this.options.standing()), ageMs: 0 });
     return entries;
   }
 
@@ -389,37 +392,37 @@
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight((roster) => {
-        if (this.activeNow) {
-          this.meetStrangers(roster);
+        if (this.isActive) {
+          this.contactUnknownPeers(roster);
           return;
         }
-        this.take(roster);
+        this.applyRoster(roster);
         this.rosterReceived.fire(roster);
         this.decide();
       });
   }
 
-  /** Tells active nodes that this active one doesn't hear of itself, so that they tell it as well. */
-  private meetStrangers({ ip, digest, entries = [] }: Roster): void {
+  /** Sends a heartbeat to active nodes that this active node gets none from, so that they send theirs to it. */
+  private contactUnknownPeers({ ip, digest, entries = [] }: Roster): void {
     const now = performance.now();
     const { table, peers } = this.options;
     if (entries.length > 0) this.digests.set(ip, digest);
     const known = new Set(
       [this.options.standing(), ...table.active(this.options.readUntilMs())].map((node) => node.ip),
     );
-    const strangers = entries.filter(({ standing }) => !known.has(standing.ip));
-    for (const { standing } of strangers) table.addContact(standing, now);
-    if (strangers.length > 0) peers.tellEveryone();
+    const unknownPeers = entries.filter(({ standing }) => !known.has(standing.ip));
+    for (const { standing } of unknownPeers) table.addContact(standing, now);
+    if (unknownPeers.length > 0) peers.broadcastHeartbeat();
   }
 
-  private take(roster: Roster): void {
+  private applyRoster(roster: Roster): void {
     const now = performance.now();
     const { table } = this.options;
     this.unansweredCounts.delete(roster.ip);
-    if (this.unanswered === roster.ip) this.unanswered = undefined;
-    if (roster.readAgeMs !== undefined) this.readHeard = { ageMs: roster.readAgeMs, atMs: now };
+    if (this.pendingSource === roster.ip) this.pendingSource = undefined;
+    if (roster.readAgeMs !== undefined) this.reportedRead = { ageMs: roster.readAgeMs, atMs: now };
     if (roster.entries === undefined) {
-      // Nothing changed, so all that it named are still heard by it.
+      // Nothing changed: it still receives heartbeats of all nodes of its last roster.
       table.confirmRoster(roster.ip, now);
       return;
     }
--- a/src/gateway/leaseTask.ts
+++ b/src/gateway/leaseTask.ts
@@ -1,4 +1,4 @@
-/** Takes, renews and gives up the placement lease, so that one node at a time orders engines. */
+/** Takes, renews and gives up the placement lease, so that only one node at a time sends orders to engines. */
 import { decodeEither } from "../common/decode.ts";
 import { toFailure } from "../common/errors.ts";
 import { Emitter } from "../common/emitter.ts";
@@ -25,16 +25,16 @@
 
 const table = "parsleynotch";
 const key = "placement";
-/** Period of looks, ms. */
-const tickMs = 200;
-/** Without a holder's pulse for this long the row is read, ms. */
-const suspectMs = 900;
-/** Nodes spread their first attempts over this time, ms, so that one wins and the others hear of it. */
-const spreadMs = 500;
-/** Time limit of a write, ms: a holder that is cut off finds out within it, and yields. */
+/** Period of checks, ms. */
+const periodMs = 200;
+/** Time without a heartbeat of a lease holder after which the row is read, ms. */
+const holderTimeoutMs = 900;
+/** Range of the random delay of attempts to take the lease, ms: one node wins, and the others receive its heartbeat. */
+const maxJitterMs = 500;
+/** Timeout of a write, ms: a holder that can't reach the store finds out within it, and yields the lease. */
 const writeTimeoutMs = 500;
-/** Orders stop this long before the lease ends, ms: the time an order may take on its way. */
-const sendMarginMs = 100;
+/** Orders stop this long before the lease expires, ms: the time that an order may be in transit. */
+const orderMarginMs = 100;
 
 /** Options of a `LeaseTask`. */
 export interface LeaseTaskOptions {
@@ -43,125 +43,125 @@
   readonly log: Log;
   readonly metrics: GatewayMetrics;
   readonly self: LeaseCandidate;
-  /** The bound on two holders taking turns, ms. */
+  /** Minimum time between orders of two holders to the same engine, ms. */
   readonly leaseMs: number;
-  /** May this node hold the lease? One that stands by leaves it to active ones. */
+  /** Whether this node may hold the lease; standby nodes may not. */
   readonly eligible: () => boolean;
-  /** Is a holder's pulse heard? */
+  /** Whether heartbeats of a lease holder are received. */
   readonly holderAlive: () => boolean;
-  /** Does the store answer any peer? */
+  /** Whether the store answers any peer. */
   readonly storeReachableByPeers: () => boolean;
-  /** Tells all peers. */
+  /** Sends the message to all peers. */
   readonly broadcastYield: (message: LeaseYield) => void;
 }
 
-interface ReadRow {
-  /** Of the row, or of its absence. */
+interface LeaseRowRead {
+  /** Position of the row, or of its absence. */
   readonly position: StorePosition;
   readonly value: LeaseRow | undefined;
 }
 
-interface Held {
+interface HeldLease {
   readonly token: number;
-  /** No order is sent past this, on the steady clock, ms. */
+  /** When the lease expires, on the monotonic clock, ms; no order is sent after it. */
   readonly untilMs: number;
 }
 
-/** Owns this node's part in the lease. */
+/** Owns this node's state of the lease. */
 export class LeaseTask extends PeriodicTask {
-  /** This node became the holder, or is one no more. */
+  /** Fired with true when this node becomes the holder, with false when it loses the lease. */
   readonly changed = new Emitter<boolean>();
-  private held: Held | undefined;
-  private readonly clock = new StoreClock();
-  private readonly clocks = new ClockJumpDetector();
-  /** The row as it was read or written last, if there is one; undefined while it isn't known. */
-  private lastRead: ReadRow | undefined;
-  /** Since when the row has been known to be as it is, ms. */
+  private held: HeldLease | undefined;
+  private readonly storeClock = new StoreClock();
+  private readonly jumpDetector = new ClockJumpDetector();
+  /** The row as last read or written, with an undefined value if there is none; undefined while it isn't known. */
+  private lastRead: LeaseRowRead | undefined;
+  /** When the row was first seen in its present version, ms. */
   private unchangedSinceMs = Number.NEGATIVE_INFINITY;
   private unchangedRow = "";
-  /** While it lasts, this node held the lease last, whatever the store has lost: until when, ms. */
+  /** Until then this node is known to be the last holder, whatever writes the store has lost, ms. */
   private heldLastUntilMs = Number.NEGATIVE_INFINITY;
   private renewedMs = 0;
-  private unheardSinceMs: number | undefined;
-  private nextLookMs = 0;
-  /** When this node last ordered each engine, on the steady clock, ms. */
-  private readonly ordered = new Map<string, number>();
-  /** Until when an engine is closed to this node, as another holder ordered it lately. */
-  private closedUntil = new Map<string, number>();
-  /** The last yield heard, and when. */
-  private yielded: { readonly message: LeaseYield; readonly atMs: number } | undefined;
+  private holderMissingSinceMs: number | undefined;
+  private nextReadMs = 0;
+  /** When this node last sent an order to each engine, on the monotonic clock, ms. */
+  private readonly lastOrderMs = new Map<string, number>();
+  /** Until when this node may not order an engine, as an earlier holder ordered it recently, ms. */
+  private blockedUntilMs = new Map<string, number>();
+  /** The last yield received, and when. */
+  private lastYield: { readonly message: LeaseYield; readonly atMs: number } | undefined;
   private stopping = false;
-  /** The lease is being given up: no order is sent any more. */
-  private handingOver = false;
-  private lookedAtStart = false;
+  /** The lease is being given up: no more orders are sent. */
+  private steppingDown = false;
+  private readAtStart = false;
 
   constructor(private readonly options: LeaseTaskOptions) {
-    super("lease", tickMs, options.log);
+    super("lease", periodMs, options.log);
     options.store.eras.changed.on(() => {
-      this.onEra();
+      this.onEraChange();
     });
   }
 
-  /** The fencing token, while an order may be sent to the engine right now. */
+  /** The fencing token if an order may be sent to the engine now, which is then taken as sent; undefined otherwise. */
   tokenForOrder(serverId: string): number | undefined {
-    this.checkClocks();
+    this.checkForClockJump();
     const now = performance.now();
     if (this.held === undefined || !this.holding || !this.mayOrder(serverId)) return undefined;
-    this.ordered.set(serverId, now);
+    this.lastOrderMs.set(serverId, now);
     return this.held.token;
   }
 
-  /** Is the engine open to this node, as far as earlier holders go? */
+  /** Whether enough time has passed since earlier holders' orders to the engine. */
   mayOrder(serverId: string): boolean {
-    return performance.now() >= (this.closedUntil.get(serverId) ?? 0);
+    return performance.now() >= (this.blockedUntilMs.get(serverId) ?? 0);
   }
 
-  /** A holder gives up a lease that it can't renew: no need to wait until it runs out. */
+  /** A holder yields a lease that it can't renew, so there is no need to wait until it expires. */
   onYield(params: unknown): boolean {
     return decodeEither(LeaseYield, params)
       .ifLeft((failure) => this.options.log.warn({ event: "peer-message-rejected", detail: failure.message }))
       .map((message) => {
-        this.yielded = { message, atMs: performance.now() };
-        this.nextLookMs = 0;
-        this.unheardSinceMs = performance.now() - suspectMs + Math.random() * spreadMs * 0.3;
+        this.lastYield = { message, atMs: performance.now() };
+        this.nextReadMs = 0;
+        this.holderMissingSinceMs = performance.now() - holderTimeoutMs + Math.random() * maxJitterMs * 0.3;
         return true;
       })
       .orDefault(false);
   }
 
-  /** Does this node hold the lease? Asked without sending an order. */
+  /** Whether this node holds the lease; reading it doesn't count as an order. */
   get holding(): boolean {
-    if (this.stopping || this.handingOver) return false;
-    return this.held !== undefined && performance.now() < this.held.untilMs - sendMarginMs;
+    if (this.stopping || this.steppingDown) return false;
+    return this.held !== undefined && performance.now() < this.held.untilMs - orderMarginMs;
   }
 
-  /** The token while held, to tell peers. */
+  /** The token while the lease is held, for heartbeats. */
   get currentToken(): number | undefined {
     return this.holding ? this.held?.token : undefined;
   }
 
-  /** Stops ordering for good and lets a successor in as early as the bound allows. */
+  /** Gives up the lease for good, so that a successor takes it as early as the handover delay allows. */
   async release(): Promise<void> {
     this.stopping = true;
     await this.stepDown();
   }
 
-  /** Stops ordering and lets a successor in as early as the bound allows. */
+  /** Gives up the lease, so that a successor takes it as early as the handover delay allows. */
   async stepDown(): Promise<void> {
-    if (this.held === undefined || this.handingOver) return;
-    this.handingOver = true;
+    if (this.held === undefined || this.steppingDown) return;
+    this.steppingDown = true;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
     if (this.lastRead?.value !== undefined)
       await this.writeRelease(this.lastRead.position, this.lastRead.value);
-    this.lose("released");
-    this.handingOver = false;
+    this.markLost("released");
+    this.steppingDown = false;
   }
 
   private async writeRelease(expected: StorePosition, row: LeaseRow): Promise<void> {
     const ordered = Object.fromEntries(
-      [...this.lastOrders()].map(([id, ms]) => [id, Math.ceil(this.clock.at(ms))]),
+      [...this.lastOrderTimes()].map(([id, ms]) => [id, Math.ceil(this.storeClock.at(ms))]),
     );
-    const value = { ...row, untilMs: Math.ceil(this.clock.at(performance.now())), ordered };
+    const value = { ...row, untilMs: Math.ceil(this.storeClock.at(performance.now())), ordered };
     try {
       await this.options.store.commit([{ table, key, value: JSON.stringify(value), expected }]);
       this.options.log.info({ event: "lease-released", token: value.token });
@@ -171,19 +171,19 @@
   }
 
   override async step(): Promise<void> {
-    this.checkClocks();
-    if (this.stopping || this.handingOver) return;
+    this.checkForClockJump();
+    if (this.stopping || this.steppingDown) return;
     const now = performance.now();
-    if (this.held !== undefined && now > this.held.untilMs) this.lose("not renewed in time");
+    if (this.held !== undefined && now > this.held.untilMs) this.markLost("not renewed in time");
     if (this.held === undefined) {
-      await this.maybeTake(now);
+      await this.takeIfFree(now);
       return;
     }
-    if (this.lastRead === undefined && now >= this.nextLookMs) await this.settle();
-    await this.renew(now);
+    if (this.lastRead === undefined && now >= this.nextReadMs) await this.resolveFromRow();
+    await this.renewIfDue(now);
   }
 
-  private async renew(now: number): Promise<void> {
+  private async renewIfDue(now: number): Promise<void> {
     if (this.held === undefined || this.lastRead === undefined) return;
     const { value, position } = this.lastRead;
     if (!isFromEra(value, position.era)) await this.write(this.lastRead, nextToken(value, position.era));
@@ -191,62 +191,62 @@
   }
 
   /**
-   * The store came back from a copy: its row may be of another holder, and another node may wait for the lease by now.
-   * A holder renews at once, under a token of the new era.
+   * The store was restored from a backup: its row may name another holder, and another node may be waiting for the lease
+   * already. A holder renews at once, with a token of the new era.
    */
-  private onEra(): void {
+  private onEraChange(): void {
     this.lastRead = undefined;
-    this.nextLookMs = 0;
-    this.yielded = undefined;
+    this.nextReadMs = 0;
+    this.lastYield = undefined;
   }
 
   /**
-   * Guards "two nodes order the same engine in turn": a host that stood still believes in a lease that ran
-   * out meanwhile, as its steady clock stood still too. The time of day shows it, and the lease is dropped.
+   * Prevents two nodes from ordering the same engine: after a suspension of the host, a lease that expired meanwhile looks
+   * valid, as the monotonic clock stood still too. The wall clock shows the suspension, and the lease is dropped.
    */
-  private checkClocks(): void {
-    if (!this.clocks.detectJump(readClocks())) return;
+  private checkForClockJump(): void {
+    if (!this.jumpDetector.detectJump(readClocks())) return;
     this.lastRead = undefined;
-    this.nextLookMs = 0;
+    this.nextReadMs = 0;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
-    if (this.held !== undefined) this.lose("host stood still");
+    if (this.held !== undefined) this.markLost("host was suspended");
   }
 
   /**
-   * Reads the row once when this process starts: a host that held the lease takes it back at once, as nobody
-   * else may order before it lapses. Where all nodes are killed together, orders begin 1.2 s sooner.
+   * Reads the row once after the process has started: a host that held the lease takes it back at once, as no other node
+   * may send orders before it expires. After all nodes were killed together, orders start 1.2 s sooner.
    */
-  private async lookAtStart(): Promise<void> {
-    this.lookedAtStart = true;
-    const found = await this.look();
+  private async readOnceAtStart(): Promise<void> {
+    this.readAtStart = true;
+    const found = await this.readRow();
     if (found?.value === undefined || !isSameHost(found.value, this.options.self)) return;
-    if (isFromEra(found.value, found.position.era)) this.unheardSinceMs = Number.NEGATIVE_INFINITY;
+    if (isFromEra(found.value, found.position.era)) this.holderMissingSinceMs = Number.NEGATIVE_INFINITY;
   }
 
-  private async maybeTake(now: number): Promise<void> {
+  private async takeIfFree(now: number): Promise<void> {
     if (!this.options.eligible() || this.options.holderAlive()) {
-      this.unheardSinceMs = undefined;
+      this.holderMissingSinceMs = undefined;
       return;
     }
-    this.unheardSinceMs ??= now + Math.random() * spreadMs;
-    if (!this.lookedAtStart) await this.lookAtStart();
-    if (now - this.unheardSinceMs < suspectMs || now < this.nextLookMs) return;
-    const found = await this.look();
+    this.holderMissingSinceMs ??= now + Math.random() * maxJitterMs;
+    if (!this.readAtStart) await this.readOnceAtStart();
+    if (now - this.holderMissingSinceMs < holderTimeoutMs || now < this.nextReadMs) return;
+    const found = await this.readRow();
     if (found === undefined) return;
-    const wait = this.waitFor(found);
-    if (wait > 0 && !this.isYielded(found)) {
-      this.nextLookMs = performance.now() + wait + Math.random() * spreadMs;
+    const waitMs = this.takeoverDelay(found);
+    if (waitMs > 0 && !this.isYielded(found)) {
+      this.nextReadMs = performance.now() + waitMs + Math.random() * maxJitterMs;
       return;
     }
     await this.write(found, nextToken(found.value, found.position.era));
   }
 
-  /** Did the holder that the row names give the lease up? A row of an earlier era may not name the last one. */
-  private isYielded({ position: { era }, value }: ReadRow): boolean {
-    return value !== undefined && isFromEra(value, era) && this.yielded?.message.token === value.token;
+  /** Whether the holder that the row names has yielded the lease; a row of an earlier era may not name the last holder. */
+  private isYielded({ position: { era }, value }: LeaseRowRead): boolean {
+    return value !== undefined && isFromEra(value, era) && this.lastYield?.message.token === value.token;
   }
 
-  private waitFor({ position: { era }, value }: ReadRow): number {
+  private takeoverDelay({ position: { era }, value }: LeaseRowRead): number {
     const now = performance.now();
     const view = {
       row: value,
@@ -254,28 +254,28 @@
       eraAgeMs: now - this.options.store.eras.sinceMs,
       unchangedMs: now - this.unchangedSinceMs,
       heldLast: now < this.heldLastUntilMs,
-      storeNowMs: this.clock.at(now),
+      storeNowMs: this.storeClock.at(now),
     };
     return takeoverDelayMs(view, this.options.self, this.options.leaseMs);
   }
 
-  /** Reads the row; undefined if the store doesn't answer, whatever was read before. */
-  private async look(): Promise<ReadRow | undefined> {
+  /** Reads the row; undefined if the store doesn't answer, even if the row was read before. */
+  private async readRow(): Promise<LeaseRowRead | undefined> {
     const sentMs = performance.now();
     this.lastRead = undefined;
     try {
-      this.learn(await this.options.store.get(table, key), sentMs);
+      this.applyRead(await this.options.store.get(table, key), sentMs);
     } catch (error) {
-      this.failed(error);
+      this.recordFailure(error);
     }
     return this.lastRead;
   }
 
-  private learn(set: RowSet, sentMs: number): void {
+  private applyRead(set: RowSet, sentMs: number): void {
     this.options.storeHealth.succeeded();
-    this.clock.update(set.nowMs, sentMs);
+    this.storeClock.update(set.nowMs, sentMs);
     const found = set.rows.find((row) => row.key === key);
-    this.noteChange(found?.position ?? absentAt(set.position));
+    this.recordRowChange(found?.position ?? absentAt(set.position));
     if (found === undefined) {
       this.lastRead = { position: absentAt(set.position), value: undefined };
       return;
@@ -287,24 +287,24 @@
       });
   }
 
-  private noteChange(position: StorePosition): void {
+  private recordRowChange(position: StorePosition): void {
     const row = formatPosition(position);
     if (row === this.unchangedRow) return;
     this.unchangedRow = row;
     this.unchangedSinceMs = performance.now();
   }
 
-  /** Takes or renews the lease with `token`, on the row as it was read. */
-  private async write({ position, value: previous }: ReadRow, token: number): Promise<void> {
+  /** Takes or renews the lease with `token`, provided that the row is still as it was read. */
+  private async write({ position, value: previous }: LeaseRowRead, token: number): Promise<void> {
     const { store, self, log } = this.options;
-    // A renewal needs the clock; it was learned when the row was read before taking the lease.
+    // The store's clock is known: the row was read before the lease was taken.
     const sentMs = performance.now();
     const { era } = position;
     const value = {
       holder: self.host,
       ip: self.ip,
       token,
-      untilMs: Math.ceil(this.clock.at(sentMs) + leaseTtlMs),
+      untilMs: Math.ceil(this.storeClock.at(sentMs) + leaseTtlMs),
       ...(era === 0 ? {} : { era }),
     };
     this.renewedMs = sentMs;
@@ -313,103 +313,104 @@
         timeoutMs: writeTimeoutMs,
       });
       this.options.storeHealth.succeeded();
-      this.clock.update(receipt.nowMs, sentMs);
+      this.storeClock.update(receipt.nowMs, sentMs);
       this.lastRead = { position: receipt.position, value };
-      if (this.clocks.detectJump(readClocks())) {
-        this.lose("host stood still");
+      if (this.jumpDetector.detectJump(readClocks())) {
+        this.markLost("host was suspended");
         return;
       }
-      this.hold({ token, untilMs: sentMs + leaseTtlMs }, previous, era);
+      this.markHeld({ token, untilMs: sentMs + leaseTtlMs }, previous, era);
     } catch (error) {
-      const failure = this.failed(error);
-      log.info({ event: "lease-write-failed", token, era, kind: failure });
-      if (failure !== "conflict") this.giveWayToServed();
-      await this.settle();
+      const kind = this.recordFailure(error);
+      log.info({ event: "lease-write-failed", token, era, kind });
+      if (kind !== "conflict") this.yieldIfPeersReachStore();
+      await this.resolveFromRow();
     }
   }
 
-  /** A write that failed may have been carried out, or another node may hold the lease: what the row says counts. */
-  private async settle(): Promise<void> {
-    const found = await this.look();
-    this.nextLookMs = performance.now() + spreadMs * Math.random();
+  /** After a failed write, which may have been executed, or if another node may hold the lease, the row decides. */
+  private async resolveFromRow(): Promise<void> {
+    const found = await this.readRow();
+    this.nextReadMs = performance.now() + maxJitterMs * Math.random();
     if (found === undefined) {
-      this.giveWayToServed();
+      this.yieldIfPeersReachStore();
       return;
     }
     const { value, position } = found;
     if (!isFromEra(value, position.era)) return;
     if (value !== undefined && isSameHost(value, this.options.self)) return;
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
-    this.lose("taken by another node");
+    this.markLost("taken by another node");
   }
 
-  /** The store answers others, so one of them can take over. */
-  private giveWayToServed(): void {
-    if (this.options.storeReachableByPeers()) this.giveWay();
+  /** Yields if the store answers peers, so that one of them can take over. */
+  private yieldIfPeersReachStore(): void {
+    if (this.options.storeReachableByPeers()) this.yieldLease();
   }
 
-  /** Gives the lease up without the store: a peer that reaches it can take over at once. */
-  private giveWay(): void {
+  /** Gives up the lease without the store: a peer that reaches the store can take over at once. */
+  private yieldLease(): void {
     if (this.held === undefined) return;
     const now = performance.now();
     const { token } = this.held;
-    this.lose("store out of reach");
+    this.markLost("store unreachable");
     this.heldLastUntilMs = Number.NEGATIVE_INFINITY;
     const orderedAgoMs = Object.fromEntries(
-      [...this.lastOrders()].map(([id, ms]) => [id, Math.floor(now - ms)]),
+      [...this.lastOrderTimes()].map(([id, ms]) => [id, Math.floor(now - ms)]),
     );
     this.options.broadcastYield({ token, orderedAgoMs });
   }
 
   /**
-   * When this node or a holder before it last ordered each engine. Guards "a third holder follows the first
-   * too closely": the second may give up before it has ordered an engine that the first had just ordered.
+   * When this node or an earlier holder last ordered each engine. Earlier holders count, as a third holder would otherwise
+   * follow the first too closely: the second may step down before it has ordered an engine that the first ordered just
+   * before.
    */
-  private lastOrders(): Map<string, number> {
-    const distance = handoverDelayMs(this.options.leaseMs);
-    const orders = new Map([...this.closedUntil].map(([id, untilMs]) => [id, untilMs - distance]));
-    for (const [id, ms] of this.ordered) orders.set(id, Math.max(ms, orders.get(id) ?? ms));
+  private lastOrderTimes(): Map<string, number> {
+    const delayMs = handoverDelayMs(this.options.leaseMs);
+    const orders = new Map([...this.blockedUntilMs].map(([id, untilMs]) => [id, untilMs - delayMs]));
+    for (const [id, ms] of this.lastOrderMs) orders.set(id, Math.max(ms, orders.get(id) ?? ms));
     return orders;
   }
 
-  /** What earlier holders ordered lately closes those engines for a while. */
-  private inherit(previous: LeaseRow | undefined): void {
+  /** Blocks engines that earlier holders ordered recently until the handover delay has passed. */
+  private applyEarlierOrders(previous: LeaseRow | undefined): void {
     const now = performance.now();
-    const distance = handoverDelayMs(this.options.leaseMs);
+    const delayMs = handoverDelayMs(this.options.leaseMs);
     if (previous === undefined || isSameHost(previous, this.options.self)) return;
-    this.closedUntil = new Map();
+    this.blockedUntilMs = new Map();
     for (const [id, storeMs] of Object.entries(previous.ordered ?? {})) {
-      this.closedUntil.set(id, this.clock.monotonicAt(storeMs) + distance);
+      this.blockedUntilMs.set(id, this.storeClock.monotonicAt(storeMs) + delayMs);
     }
-    if (this.yielded?.message.token !== previous.token) return;
-    const { message, atMs } = this.yielded;
+    if (this.lastYield?.message.token !== previous.token) return;
+    const { message, atMs } = this.lastYield;
     for (const [id, agoMs] of Object.entries(message.orderedAgoMs)) {
-      if (agoMs < distance) this.closedUntil.set(id, Math.max(now, atMs - agoMs + distance));
+      if (agoMs < delayMs) this.blockedUntilMs.set(id, Math.max(now, atMs - agoMs + delayMs));
     }
   }
 
-  private hold(held: Held, previous: LeaseRow | undefined, era: number): void {
+  private markHeld(held: HeldLease, previous: LeaseRow | undefined, era: number): void {
     const before = this.held;
     this.held = held;
     this.heldLastUntilMs = held.untilMs + handoverDelayMs(this.options.leaseMs);
     if (before?.token === held.token) return;
     this.options.log.info({ event: "lease-taken", token: held.token, era, before: before?.token });
     if (before !== undefined) return;
-    this.inherit(previous);
+    this.applyEarlierOrders(previous);
     this.options.metrics.leaseHeld.set(1);
     this.changed.fire(true);
   }
 
-  private lose(reason: string): void {
+  private markLost(reason: string): void {
     if (this.held === undefined) return;
     this.options.log.info({ event: "lease-lost", token: this.held.token, reason });
     this.held = undefined;
-    this.unheardSinceMs = undefined;
+    this.holderMissingSinceMs = undefined;
     this.options.metrics.leaseHeld.set(0);
     this.changed.fire(false);
   }
 
-  private failed(error: unknown): string {
+  private recordFailure(error: unknown): string {
     const failure = toFailure(error);
     if (failure.kind === "platform-unavailable" || failure.kind === "outcome-unknown")
       this.options.storeHealth.failed(failure);
--- a/src/gateway/peerTask.ts
+++ b/src/gateway/peerTask.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between gateway nodes: JSON-RPC 2.0 over datagrams. A few times a second each node tells its
- * peers what it has in flight, what is asked of it, and whether it takes callers; small calls ride beside.
+ * Messages between gateway nodes: JSON-RPC 2.0 over UDP. A few times a second each node sends its peers its requests in
+ * flight, its callers' demand and whether it is active; small calls use the same socket.
  */
 import * as dgram from "node:dgram";
 import * as rpc from "json-rpc-2.0";
@@ -18,66 +18,66 @@
   type PeerTable,
 } from "../serving/membership/peerTable.ts";
 
-/** Period of pulses, ms. */
-const pulseMs = 300;
+/** Period of heartbeats, ms. */
+const heartbeatPeriodMs = 300;
 /**
- * Period of messages about loads, ms: a prompt is read in some ten ms, so loads of a third of a second ago send
- * several nodes to the same engine at once.
+ * Period of load messages, ms: prefill takes some ten ms, so with loads as old as a third of a second several nodes would
+ * choose the same engine at once.
  */
-const loadsMs = 100;
+const loadsPeriodMs = 100;
 /**
- * The same for each node told, ms, where this is longer: what a node hears in a second then doesn't grow with the number
- * of nodes, some 70 messages.
+ * Period of load messages per peer, ms, if this gives a longer period: a node then receives some 70 messages a second,
+ * however many nodes there are.
  */
-const loadsPerPeerMs = 14;
-/** A node that stands by looks this often whether its callers ask anything of the holder, ms. */
-const standbyMs = 500;
-/** Every so many pulses one goes to silent and listed nodes too. */
-const everyoneEvery = 4;
-/** A lost datagram is sent again after this time, ms: some ten round trips between zones. */
+const loadsPeriodPerPeerMs = 14;
+/** Interval at which a standby node checks whether its callers need anything from the lease holder, ms. */
+const standbyCheckMs = 500;
+/** One in this many heartbeats goes to unresponsive and listed nodes too. */
+const broadcastEvery = 4;
+/** An unanswered datagram is sent again after this time, ms: some ten round trips between zones. */
 const resendMs = 60;
-/** Sends of one call. */
-const sends = 3;
+/** Maximum number of sends of one call. */
+const maxSends = 3;
 
 /** Options of a `PeerTask`. */
 export interface PeerTaskOptions {
   readonly endpoint: Endpoint;
   readonly log: Log;
   readonly table: PeerTable;
-  /** Everything that arrived before this moment has been read, ms: a peer is silent as of then, not as of now. */
+  /** All input that arrived before this time has been read, ms; a peer's silence is measured up to it, not up to now. */
   readonly readUntilMs: () => number;
-  /** A datagram was read. */
+  /** Called when a datagram has been read. */
   readonly onDatagram: () => void;
-  /** What to tell peers now. */
+  /** The heartbeat to send now. */
   readonly pulse: () => Heartbeat;
-  /** Work in flight of this node that peers don't know. */
+  /** Changes in this node's requests in flight that peers don't know; undefined if there are none. */
   readonly loads: () => Pick<LoadsMessage, "loads" | "whole"> | undefined;
-  /** What to tell the holder of the placement lease besides. */
+  /** Callers' demand, sent to the lease holder with the heartbeat. */
   readonly demand: () => CallerDemand;
-  /** Does this node take callers, rather than stand by? */
+  /** Whether this node is active, rather than on standby. */
   readonly active: () => boolean;
-  /** Was anything asked of this node lately? */
+  /** Whether callers use this node. */
   readonly inUse: () => boolean;
 }
 
 /** Owns the datagram socket. */
 export class PeerTask implements Task {
   readonly name = "peers";
-  /** A pulse of a peer, newer than the last. */
+  /** Fired with each heartbeat of a peer that is newer than its last. */
   readonly heartbeatReceived = new Emitter<Heartbeat>();
   private readonly socket = dgram.createSocket("udp4");
-  // Failures are answered to the peer, which logs them; the library's own console output is off.
+  // Failures are returned to the peer, which logs them; the library's own console output is off.
   private readonly server = new rpc.JSONRPCServer({ errorListener: () => undefined });
   private readonly handlers = new Map<string, (params: unknown) => unknown>();
   private readonly pending = new Map<string, (response: rpc.JSONRPCResponse) => void>();
   private timer: NodeJS.Timeout | undefined;
-  private rounds = 0;
-  private toldMs = Number.NEGATIVE_INFINITY;
-  private calls = 0;
+  private heartbeatCount = 0;
+  private lastHeartbeatMs = Number.NEGATIVE_INFINITY;
+  private callCount = 0;
 
   constructor(private readonly options: PeerTaskOptions) {
     this.handle("pulse", (params) => {
-      this.takePulse(params);
+      this.onHeartbeat(params);
       return true;
     });
   }
@@ -105,88 +105,88 @@
   }
 
   /**
-   * Sends a pulse now, as something changed that peers should know. A node that stands by tells only the holder of the
-   * placement lease, and only while callers use it.
+   * Sends a heartbeat now, as something changed that peers should know. A standby node sends it only to the lease holder,
+   * and only while callers use this node.
    */
   sendHeartbeat(): void {
-    this.rounds += 1;
-    if (this.options.active()) this.tellPeers(this.rounds % everyoneEvery === 1);
-    else if (this.options.inUse()) this.tellHolder();
+    this.heartbeatCount += 1;
+    if (this.options.active()) this.sendHeartbeats(this.heartbeatCount % broadcastEvery === 1);
+    else if (this.options.inUse()) this.sendHeartbeatToLeaseHolder();
   }
 
-  /** Tells all that may listen: this node became active, or stands by from now on. */
-  tellEveryone(): void {
-    this.tellPeers(true);
+  /** Sends a heartbeat to all nodes that may exist, as when this node becomes active or returns to standby. */
+  broadcastHeartbeat(): void {
+    this.sendHeartbeats(true);
   }
 
-  /** Tells one peer; nothing comes back. */
-  tellOne(method: string, params: unknown, peer: PeerAddress): void {
+  /** Sends a notification to one peer; there is no response. */
+  notifyOne(method: string, params: unknown, peer: PeerAddress): void {
     this.send(notification(method, params), peer);
   }
 
-  /** Tells every live peer; nothing comes back. */
+  /** Sends a notification to every live peer; there is no response. */
   notify(method: string, params: unknown): void {
     const bytes = notification(method, params);
     for (const peer of this.options.table.recipients(this.options.readUntilMs(), false))
       this.send(bytes, peer);
   }
 
-  /** Pulses at their period, and loads between them. */
+  /** Schedules the next load message, and the heartbeats at their longer period. */
   private schedule(): void {
     const peers = this.options.table.alive(this.options.readUntilMs()).length;
-    const periodMs = Math.min(pulseMs, Math.max(loadsMs, peers * loadsPerPeerMs));
+    const periodMs = Math.min(heartbeatPeriodMs, Math.max(loadsPeriodMs, peers * loadsPeriodPerPeerMs));
     this.timer = setTimeout(
       () => {
-        const pulseIsDue = performance.now() - this.toldMs >= pulseMs - periodMs / 2;
-        if (pulseIsDue) this.sendHeartbeat();
-        this.tellLoads();
+        const heartbeatIsDue = performance.now() - this.lastHeartbeatMs >= heartbeatPeriodMs - periodMs / 2;
+        if (heartbeatIsDue) this.sendHeartbeat();
+        this.sendLoads();
         this.schedule();
       },
-      this.options.active() ? periodMs : standbyMs,
+      this.options.active() ? periodMs : standbyCheckMs,
     );
   }
 
-  private tellPeers(everyone: boolean): void {
-    this.toldMs = performance.now();
-    const { table, pulse, demand: asked, readUntilMs } = this.options;
+  private sendHeartbeats(toAll: boolean): void {
+    this.lastHeartbeatMs = performance.now();
+    const { table, pulse, demand, readUntilMs } = this.options;
     const readMs = readUntilMs();
-    const told = pulse();
-    const bytes = notification("pulse", told);
+    const heartbeat = pulse();
+    const bytes = notification("pulse", heartbeat);
     const holder = table.leaseHolder(readMs);
-    for (const peer of table.recipients(readMs, everyone)) {
+    for (const peer of table.recipients(readMs, toAll)) {
       const toHolder = peer.ip === holder?.ip;
-      this.send(toHolder ? notification("pulse", { ...told, asked: asked() }) : bytes, peer);
+      this.send(toHolder ? notification("pulse", { ...heartbeat, asked: demand() }) : bytes, peer);
     }
   }
 
-  private tellHolder(): void {
+  private sendHeartbeatToLeaseHolder(): void {
     const holder = this.options.table.leaseHolder(this.options.readUntilMs());
     if (holder !== undefined)
-      this.tellOne("pulse", { ...this.options.pulse(), asked: this.options.demand() }, holder);
+      this.notifyOne("pulse", { ...this.options.pulse(), asked: this.options.demand() }, holder);
   }
 
-  /** Says what is in flight here, where it changed. */
-  private tellLoads(): void {
-    const news = this.options.active() ? this.options.loads() : undefined;
-    if (news !== undefined) this.notify("loads", { ip: this.options.endpoint.ip, ...news });
+  /** Sends changes in this node's requests in flight. */
+  private sendLoads(): void {
+    const update = this.options.active() ? this.options.loads() : undefined;
+    if (update !== undefined) this.notify("loads", { ip: this.options.endpoint.ip, ...update });
   }
 
-  /** Calls a peer; sends again when the datagram seems lost, so the method must be idempotent. */
+  /** Calls a peer; the request is sent again if no response comes in time, so the method must be idempotent. */
   call(peer: PeerAddress, method: string, params: unknown): Promise<unknown> {
-    this.calls += 1;
-    const id = `${this.options.endpoint.ip} ${this.calls}`;
+    this.callCount += 1;
+    const id = `${this.options.endpoint.ip} ${this.callCount}`;
     const bytes = Buffer.from(JSON.stringify(rpc.createJSONRPCRequest(id, method, params)));
     return new Promise((resolve, reject) => {
-      let left = sends;
+      let sendsLeft = maxSends;
       const attempt = (): void => {
-        if (left === 0) {
+        if (sendsLeft === 0) {
           this.pending.delete(id);
           reject(new Error(`peer ${peer.ip} did not answer ${method}`));
           return;
         }
-        left -= 1;
+        sendsLeft -= 1;
         this.send(bytes, peer);
-        // The answer may be there and not yet read.
+        // The response may have arrived and not been read yet.
         timer = setTimeout(() => void waitForPendingInput().then(again), resendMs);
       };
       const again = (): void => {
@@ -220,7 +220,7 @@
   }
 
   private async receive(message: Buffer, from: PeerAddress): Promise<void> {
-    // Whatever arrives on the port must not end the process.
+    // Nothing that arrives on the port may crash the process.
     try {
       await this.dispatch(
         JSON.parse(message.toString("utf8")) as rpc.JSONRPCRequest | rpc.JSONRPCResponse,
@@ -237,29 +237,30 @@
       return;
     }
     if (value.id === undefined && rpc.isJSONRPCRequest(value)) {
-      await this.notified(value);
+      await this.handleNotification(value);
       return;
     }
     const response = await this.server.receive(value);
     if (response !== null) this.send(Buffer.from(JSON.stringify(response)), from);
   }
 
-  /** Hands a notification over without the library's middleware: most messages are one, and nothing is answered. */
-  private async notified({ method, params }: rpc.JSONRPCRequest): Promise<void> {
+  /** Calls the handler without the library's middleware: most messages are notifications, and they have no response. */
+  private async handleNotification({ method, params }: rpc.JSONRPCRequest): Promise<void> {
     try {
       await this.handlers.get(method)?.(params);
     } catch {
-      // As with the library: the sender isn't told, and what was wrong is for the handler to log.
+      // As with the library, the sender gets no error; logging is up to the handler.
     }
   }
 
-  private takePulse(params: unknown): void {
+  private onHeartbeat(params: unknown): void {
     decodeEither(Heartbeat, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
-      .ifRight((pulse) => {
-        if (this.options.table.recordHeartbeat(pulse, performance.now())) this.heartbeatReceived.fire(pulse);
+      .ifRight((heartbeat) => {
+        if (this.options.table.recordHeartbeat(heartbeat, performance.now()))
+          this.heartbeatReceived.fire(heartbeat);
       });
   }
 }
--- a/src/gateway/permitTask.ts
+++ b/src/gateway/permitTask.ts
@@ -105,7 +105,7 @@
     this.askedMs = performance.now();
     for (const { issuer, theirs } of this.byIssuer(asks)) {
       if (issuer.ip === self.ip) this.hear(self, theirs);
-      else peers.tellOne("permits.ask", { ...addressOf(self), asks: theirs }, issuer);
+      else peers.notifyOne("permits.ask", { ...addressOf(self), asks: theirs }, issuer);
     }
     this.askAfter(askAgainMs);
   }
@@ -162,7 +162,7 @@
     if (limit === undefined) return;
     const message = { server, permits, backlog: this.options.issuer.backlog(server, now), limit };
     if (node.ip === this.options.self.ip) this.take(message);
-    else this.options.peers.tellOne("permits", message, node);
+    else this.options.peers.notifyOne("permits", message, node);
   }
 
   /** Issues again when the next permit that somebody wants is due. */
