--- a/src/gateway/configurationTask.ts
+++ b/src/gateway/configurationTask.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration in force up to date: read from the store, or told by a peer that has a newer one. */
+/** Keeps the active configuration up to date, read from the store or pulled from a peer that has a newer one. */
 import * as Schema from "effect/Schema";
 import type * as purify from "purify-ts";
 import { decode } from "../common/decode.ts";
@@ -13,9 +13,9 @@
 import type { StoreHealth } from "./storeHealth.ts";
 import { TableTask, type TableTaskOptions } from "./tableTask.ts";
 
-/** How long one wait for changes lasts, ms: a silent connection delays a configuration by no more. */
+/** Duration of one wait for changes, ms: an unresponsive connection delays a configuration by no more. */
 const waitMs = 3_000;
-/** Pause of a node that leaves reading to others, ms: hundreds that stand by take their hosts' time if they wake often. */
+/** Pause of a node that isn't a store reader, ms: hundreds of standby nodes would use up CPU time if they woke often. */
 const idleMs = { active: 250, standby: 1_000 };
 
 /** The configuration as it was stored. */
@@ -26,7 +26,7 @@
   readonly storeHealth: StoreHealth;
   readonly log: Log;
   readonly configuration: ActiveConfiguration;
-  /** Where the configuration lies. */
+  /** The row that holds the configuration. */
   readonly row: { readonly table: string; readonly key: string };
   readonly decode: (text: string) => purify.Either<Failure, Configuration>;
   /** Calls a peer. */
@@ -42,12 +42,12 @@
     super({ name: "configuration", table: options.row.table, waitMs, idleMs }, options);
   }
 
-  /** Methods for peers. */
+  /** RPC methods for peers. */
   get handlers(): Record<string, Handler> {
     return { "configuration.get": () => Promise.resolve({ text: this.text ?? "" }) };
   }
 
-  /** A peer may have a newer configuration. */
+  /** Pulls the peer's configuration if it is newer. */
   async pullIfNewer(peer: PeerVersions): Promise<void> {
     const { configuration, log } = this.options;
     if (peer.version <= (configuration.current?.version ?? 0) || this.pulling) return;
@@ -57,7 +57,7 @@
         StoredConfiguration,
         await this.options.callPeer(peer, "configuration.get", {}),
       );
-      if (text !== "") this.apply(text, peer.host);
+      if (text !== "") this.applyText(text, peer.host);
     } catch (error) {
       log.debug({ event: "configuration-not-pulled", peer: peer.host, detail: toFailure(error).message });
     } finally {
@@ -65,32 +65,32 @@
     }
   }
 
-  /** An active node without a configuration refuses its callers: it doesn't wait for a peer's word. */
-  protected override get lacking(): boolean {
+  /** An active node without a configuration refuses its callers, so it reads the store without waiting for a peer. */
+  protected override get hasNoData(): boolean {
     return this.options.active() && this.options.configuration.current === undefined;
   }
 
-  protected override readWhole(): Promise<RowSet> {
+  protected override readAll(): Promise<RowSet> {
     const { table, key } = this.options.row;
     return this.options.store.get(table, key);
   }
 
-  protected override take({ rows }: RowSet): void {
+  protected override applyRows({ rows }: RowSet): void {
     const found = rows.find(({ key }) => key === this.options.row.key);
-    if (found !== undefined) this.apply(found.value, "store");
+    if (found !== undefined) this.applyText(found.value, "store");
   }
 
-  protected override noteCall(failure: Failure | undefined): void {
-    const { storeHealth: link } = this.options;
-    if (failure === undefined) link.succeeded();
-    else link.failed(failure);
+  protected override recordResult(failure: Failure | undefined): void {
+    const { storeHealth } = this.options;
+    if (failure === undefined) storeHealth.recordSuccess();
+    else storeHealth.recordFailure(failure);
   }
 
-  private apply(text: string, from: string): void {
+  private applyText(text: string, from: string): void {
     if (text === this.text) return;
     const { log, configuration } = this.options;
     this.options.decode(text).caseOf({
-      // The last good configuration stays in force.
+      // The last valid configuration stays active.
       Left: (failure) => {
         log.error({ event: "configuration-rejected", from, detail: failure.message });
       },
--- a/src/gateway/leaseTask.ts
+++ b/src/gateway/leaseTask.ts
@@ -272,7 +272,7 @@
   }
 
   private applyRead(set: RowSet, sentMs: number): void {
-    this.options.storeHealth.succeeded();
+    this.options.storeHealth.recordSuccess();
     this.storeClock.update(set.nowMs, sentMs);
     const found = set.rows.find((row) => row.key === key);
     this.recordRowChange(found?.position ?? absentAt(set.position));
@@ -312,7 +312,7 @@
       const receipt = await store.commit([{ table, key, value: JSON.stringify(value), expected: position }], {
         timeoutMs: writeTimeoutMs,
       });
-      this.options.storeHealth.succeeded();
+      this.options.storeHealth.recordSuccess();
       this.storeClock.update(receipt.nowMs, sentMs);
       this.lastRead = { position: receipt.position, value };
       if (this.jumpDetector.detectJump(readClocks())) {
@@ -413,7 +413,7 @@
   private recordFailure(error: unknown): string {
     const failure = toFailure(error);
     if (failure.kind === "platform-unavailable" || failure.kind === "outcome-unknown")
-      this.options.storeHealth.failed(failure);
+      this.options.storeHealth.recordFailure(failure);
     return failure.kind;
   }
 }
--- a/src/gateway/memberTask.ts
+++ b/src/gateway/memberTask.ts
@@ -1,4 +1,4 @@
-/** Enters this node in the store's list of gateway nodes, and learns the others from it. */
+/** Registers this node in the store's list of gateway nodes, and reads the others from it. */
 import { decodeEither } from "../common/decode.ts";
 import type { Disposable } from "../common/disposables.ts";
 import { toFailure } from "../common/errors.ts";
@@ -8,19 +8,19 @@
 import type { RowChange, Store } from "../serving/store.ts";
 
 const table = "parsleynotch_nodes";
-/** Pause between tries until the node is entered, ms. */
-const periodMs = 500;
+/** Pause between attempts until the node is registered, ms. */
+const retryPeriodMs = 500;
 
-/** A node that couldn't read the list for this long goes by what it hears from peers, ms. */
-const unlistedMs = 2_000;
+/** A node that couldn't read the list for this long relies on its peers' messages, ms. */
+const listTimeoutMs = 2_000;
 
 /**
- * Nodes that look after the list once the store came back from a copy do so within this time, ms, so that one writes what is
- * missing and the others find it.
+ * Range of the random delay, ms, after which store readers check the list once the store was restored from a backup: one
+ * writes the missing rows, and the others find them.
  */
-const spreadMs = 1_500;
-/** Rows written in one commit. */
-const mostRows = 50;
+const maxRestoreDelayMs = 1_500;
+/** Maximum number of rows written in one commit. */
+const maxRowsPerCommit = 50;
 
 /** Options of a `MemberTask`. */
 export interface MemberTaskOptions {
@@ -28,39 +28,39 @@
   readonly log: Log;
   readonly peers: PeerTable;
   readonly self: Member;
-  /** Is it on this node to read the store for all? */
+  /** Whether this node is one of the store readers. */
   readonly shouldReadStore: () => boolean;
 }
 
 /**
- * Writes its row first and reads the others' after it, once: of two nodes that start together at least one
- * sees the other and tells it of itself.
+ * Writes this node's row first and then reads the others', once: of two nodes that start together at least one sees the
+ * other, and sends it a heartbeat.
  */
 export class MemberTask extends PeriodicTask {
-  private entered = false;
+  private registered = false;
   private listed = false;
   private readonly startedMs = performance.now();
-  /** When to look for rows that the store lost, ms. */
+  /** When to check for rows that the store lost, ms. */
   private restoreAtMs = Number.POSITIVE_INFINITY;
-  private readonly listening: Disposable;
+  private readonly eraSubscription: Disposable;
 
   constructor(private readonly options: MemberTaskOptions) {
-    super("member", periodMs, options.log);
-    this.listening = options.store.eras.changed.on(({ from }) => {
+    super("member", retryPeriodMs, options.log);
+    this.eraSubscription = options.store.eras.changed.on(({ from }) => {
       if (from === undefined || !this.listed) return;
-      this.restoreAtMs = performance.now() + Math.random() * spreadMs;
+      this.restoreAtMs = performance.now() + Math.random() * maxRestoreDelayMs;
       void this.resume();
     });
   }
 
-  /** Are the other nodes known, or is the store out of reach for so long that this one decides without? */
+  /** Whether the other nodes are known, or the list couldn't be read for so long that this node decides without it. */
   get membershipKnown(): boolean {
-    return this.listed || performance.now() - this.startedMs > unlistedMs;
+    return this.listed || performance.now() - this.startedMs > listTimeoutMs;
   }
 
-  /** Leaves the list; a row that stays behind does no harm, as nobody hears the node. */
+  /** Removes this node's row; a row that stays behind does no harm, as the node sends no heartbeats. */
   async leave(): Promise<void> {
-    await this.listening.dispose();
+    await this.eraSubscription.dispose();
     try {
       await this.options.store.commit([{ table, key: this.options.self.ip }]);
     } catch (error) {
@@ -69,35 +69,35 @@
   }
 
   override async dispose(): Promise<void> {
-    await this.listening.dispose();
+    await this.eraSubscription.dispose();
     await super.dispose();
   }
 
   protected override async step(): Promise<void> {
     if (this.listed) await this.restore();
-    else await this.enter();
+    else await this.register();
   }
 
-  /** Writes the rows of nodes that a copy of the store lacks, for all nodes. */
+  /** Writes the rows that are missing from the restored store, on behalf of all nodes. */
   private async restore(): Promise<void> {
-    const { store, peers, log, shouldReadStore: reads } = this.options;
+    const { store, peers, log, shouldReadStore } = this.options;
     if (performance.now() < this.restoreAtMs) return;
-    if (reads()) {
+    if (shouldReadStore()) {
       const present = new Set((await store.list(table)).rows.map(({ key }) => key));
-      const lost = peers.memberRows(this.options.self).filter(({ ip }) => !present.has(ip));
-      for (let i = 0; i < lost.length; i += mostRows)
-        await store.commit(lost.slice(i, i + mostRows).map((member) => rowOf(member)));
-      log.info({ event: "members-restored", nodes: lost.length });
+      const missing = peers.memberRows(this.options.self).filter(({ ip }) => !present.has(ip));
+      for (let i = 0; i < missing.length; i += maxRowsPerCommit)
+        await store.commit(missing.slice(i, i + maxRowsPerCommit).map((member) => rowOf(member)));
+      log.info({ event: "members-restored", nodes: missing.length });
     }
     this.restoreAtMs = Number.POSITIVE_INFINITY;
     this.pause();
   }
 
-  private async enter(): Promise<void> {
+  private async register(): Promise<void> {
     const { store, self, log, peers } = this.options;
-    if (!this.entered) {
+    if (!this.registered) {
       await store.commit([rowOf(self)]);
-      this.entered = true;
+      this.registered = true;
     }
     const { rows } = await store.list(table);
     this.listed = true;
--- a/src/gateway/peerCalls.ts
+++ b/src/gateway/peerCalls.ts
@@ -1,4 +1,4 @@
-/** Larger messages between gateway nodes: JSON-RPC 2.0 over HTTP, on the same port number as the datagrams. */
+/** Calls between gateway nodes that are too large for a datagram: JSON-RPC 2.0 over HTTP, on the datagrams' port number. */
 import * as http from "node:http";
 import * as rpc from "json-rpc-2.0";
 import { Failure, toFailure } from "../common/errors.ts";
@@ -10,37 +10,37 @@
 import type { PeerAddress } from "../serving/membership/peerTable.ts";
 import type { StorePosition } from "../serving/storePosition.ts";
 
-/** Time limit of one call, ms; a silent connection is given up and the next call opens a new one. */
+/** Timeout of one call, ms; an unresponsive connection is abandoned and the next call opens a new one. */
 const callTimeoutMs = 500;
 
-/** What a peer's message says of how much it knows. */
+/** The versions of shared state that a peer knows, as stated in its messages. */
 export interface PeerVersions extends PeerAddress {
   readonly host: string;
   readonly boot: number;
-  /** Of its configuration. */
+  /** Version of its configuration. */
   readonly version: number;
-  /** Of the newest change of servers that it tells of. */
+  /** Revision of the newest change of servers that it can be asked for. */
   readonly fleetRevision: number;
-  /** The store's position of the newest change of quarantined requests that it knows. */
+  /** Store position of the newest change to the quarantine that it knows. */
   readonly quarantinePosition?: StorePosition;
   /** The newest era of the store that it knows. */
   readonly storeEra?: number;
 }
 
-/** Serves and makes calls between nodes. */
+/** Serves calls of other nodes and calls them. */
 export class PeerCalls implements Task {
   readonly name = "peer-calls";
   private readonly agent = new http.Agent({ keepAlive: true, maxFreeSockets: 1 });
   private readonly server: http.Server;
-  private calls = 0;
+  private callCount = 0;
 
   constructor(
     private readonly endpoint: Endpoint,
     handlers: Readonly<Record<string, Handler>>,
   ) {
-    const served = new RpcEndpoint(handlers);
+    const rpcEndpoint = new RpcEndpoint(handlers);
     this.server = http.createServer((req, res) => {
-      served.handle(req, res).catch((error: unknown) => {
+      rpcEndpoint.handle(req, res).catch((error: unknown) => {
         sendFailure(res, toFailure(error));
       });
     });
@@ -59,14 +59,14 @@
 
   /** Calls a peer's method; the result is still to be decoded. */
   async call(peer: PeerAddress, method: string, params: unknown): Promise<unknown> {
-    this.calls += 1;
+    this.callCount += 1;
     const reply = await callHttp({
       agent: this.agent,
       ip: peer.ip,
       port: peer.port,
       method: "POST",
       path: "/rpc",
-      body: JSON.stringify(rpc.createJSONRPCRequest(this.calls, method, params)),
+      body: JSON.stringify(rpc.createJSONRPCRequest(this.callCount, method, params)),
       timeoutMs: callTimeoutMs,
     });
     const response = JSON.parse(reply.text) as rpc.JSONRPCResponse;
--- a/src/gateway/permitTask.ts
+++ b/src/gateway/permitTask.ts
@@ -1,4 +1,4 @@
-/** Asks the issuers of permits for those that this node wants, and issues permits to other nodes. By datagram. */
+/** Requests the permits that this node needs from their issuers, and grants permits to other nodes, by datagram. */
 import * as Schema from "effect/Schema";
 import { decodeEither } from "../common/decode.ts";
 import type { Emitter } from "../common/emitter.ts";
@@ -10,16 +10,16 @@
 import { ObservedRateLimit, type ServerNotices } from "../serving/serverNotices.ts";
 import type { PeerTask } from "./peerTask.ts";
 
-/** Wants that change within this time are told together, ms. */
-const gatherMs = 10;
-/** Shortest time between two asks, ms. */
-const leastGapMs = 30;
-/** What is still wanted is asked for again after this time, ms: it says that it still is, and datagrams are lost. */
-const askAgainMs = 100;
-/** Shortest time until permits are issued again, ms. */
-const leastDueMs = 5;
+/** Changes of demand within this time are sent together, ms. */
+const batchMs = 10;
+/** Minimum time between two permit requests, ms. */
+const minRequestIntervalMs = 30;
+/** Unmet demand is sent again after this time, ms: datagrams are lost, and the issuer learns that the demand persists. */
+const repeatMs = 100;
+/** Minimum time until permits are granted again, ms. */
+const minGrantDelayMs = 5;
 
-const AsksMessage = Schema.Struct({
+const PermitRequestsMessage = Schema.Struct({
   ip: Schema.String,
   port: Schema.Number,
   asks: Schema.Array(PermitRequest),
@@ -44,28 +44,28 @@
   readonly issuer: PermitIssuer;
   /** The node that issues permits for the server. */
   readonly ownerOf: (server: string) => PeerAddress;
-  /** Fired with new permits, as requests may wait for them. */
+  /** Fired when permits arrive or the limit is lifted, as requests may wait for it. */
   readonly granted: Emitter<undefined>;
 }
 
-/** Owns the timers of asks and of permits that come due. */
+/** Owns the timers of permit requests and of grants. */
 export class PermitTask implements Task {
   readonly name = "permits";
-  /** Where nodes that asked are told. */
+  /** Addresses of nodes that requested permits, by IP. */
   private readonly addresses = new Map<string, PeerAddress>();
-  private askTimer: NodeJS.Timeout | undefined;
-  private askedMs = Number.NEGATIVE_INFINITY;
-  /** The timer runs for a change, not for the next repeat. */
-  private asksSoon = false;
-  private issueTimer: NodeJS.Timeout | undefined;
+  private requestTimer: NodeJS.Timeout | undefined;
+  private lastRequestMs = Number.NEGATIVE_INFINITY;
+  /** The request timer runs for a change of demand, not for a repetition. */
+  private requestScheduled = false;
+  private grantTimer: NodeJS.Timeout | undefined;
   private stopped = false;
 
   constructor(private readonly options: PermitTaskOptions) {
     options.permits.demandChanged.on(() => {
-      this.askSoon();
+      this.scheduleRequest();
     });
     options.peers.handle("permits.ask", (params) => {
-      this.onAsk(params);
+      this.onRequests(params);
     });
     options.peers.handle("permits", (params) => {
       this.onPermits(params);
@@ -78,103 +78,105 @@
 
   dispose(): Promise<void> {
     this.stopped = true;
-    clearTimeout(this.askTimer);
-    clearTimeout(this.issueTimer);
+    clearTimeout(this.requestTimer);
+    clearTimeout(this.grantTimer);
     return Promise.resolve();
   }
 
-  private askSoon(): void {
-    if (this.asksSoon) return;
-    this.asksSoon = true;
-    const dueMs = Math.max(gatherMs, this.askedMs + leastGapMs - performance.now());
-    this.askAfter(dueMs);
+  private scheduleRequest(): void {
+    if (this.requestScheduled) return;
+    this.requestScheduled = true;
+    const dueMs = Math.max(batchMs, this.lastRequestMs + minRequestIntervalMs - performance.now());
+    this.requestAfter(dueMs);
   }
 
-  private askAfter(ms: number): void {
-    clearTimeout(this.askTimer);
-    this.askTimer = this.later(ms, () => {
-      this.ask();
+  private requestAfter(ms: number): void {
+    clearTimeout(this.requestTimer);
+    this.requestTimer = this.setTimer(ms, () => {
+      this.sendRequests();
     });
   }
 
-  private ask(): void {
-    this.asksSoon = false;
+  private sendRequests(): void {
+    this.requestScheduled = false;
     const { permits, peers, self } = this.options;
-    const asks = permits.collectRequests(performance.now());
-    if (asks.length === 0) return;
-    this.askedMs = performance.now();
-    for (const { issuer, theirs } of this.byIssuer(asks)) {
-      if (issuer.ip === self.ip) this.hear(self, theirs);
-      else peers.notifyOne("permits.ask", { ...addressOf(self), asks: theirs }, issuer);
+    const requests = permits.collectRequests(performance.now());
+    if (requests.length === 0) return;
+    this.lastRequestMs = performance.now();
+    for (const { issuer, forIssuer } of this.byIssuer(requests)) {
+      if (issuer.ip === self.ip) this.processRequests(self, forIssuer);
+      else peers.notifyOne("permits.ask", { ...addressOf(self), asks: forIssuer }, issuer);
     }
-    this.askAfter(askAgainMs);
+    this.requestAfter(repeatMs);
   }
 
-  private byIssuer(asks: readonly PermitRequest[]): { issuer: PeerAddress; theirs: PermitRequest[] }[] {
-    const grouped = new Map<string, { issuer: PeerAddress; theirs: PermitRequest[] }>();
-    for (const ask of asks) {
-      const issuer = this.options.ownerOf(ask.server);
-      const group = grouped.get(issuer.ip) ?? { issuer, theirs: [] };
-      group.theirs.push(ask);
+  private byIssuer(
+    requests: readonly PermitRequest[],
+  ): { issuer: PeerAddress; forIssuer: PermitRequest[] }[] {
+    const grouped = new Map<string, { issuer: PeerAddress; forIssuer: PermitRequest[] }>();
+    for (const request of requests) {
+      const issuer = this.options.ownerOf(request.server);
+      const group = grouped.get(issuer.ip) ?? { issuer, forIssuer: [] };
+      group.forIssuer.push(request);
       grouped.set(issuer.ip, group);
     }
     return [...grouped.values()];
   }
 
-  private onAsk(params: unknown): void {
-    decodeEither(AsksMessage, params)
+  private onRequests(params: unknown): void {
+    decodeEither(PermitRequestsMessage, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight(({ asks, ...node }) => {
-        this.hear(node, asks);
+        this.processRequests(node, asks);
       });
   }
 
-  private hear(node: PeerAddress, asks: readonly PermitRequest[]): void {
+  private processRequests(node: PeerAddress, requests: readonly PermitRequest[]): void {
     const now = performance.now();
     const { notices } = this.options;
     this.addresses.set(node.ip, node);
-    for (const ask of asks) {
-      notices.applyPeerLimit(ask.server, ask.limit, now);
-      const perS = notices.observedLimit(ask.server, now)?.perS;
-      // Where this node knows better that the limit was lifted, the answer says so.
-      if (perS !== undefined) this.options.issuer.recordRequest(node.ip, ask, perS, now);
-      const told = this.issue(ask.server);
-      if (!told.has(node.ip)) this.tell(node, ask.server, 0);
+    for (const request of requests) {
+      notices.applyPeerLimit(request.server, request.limit, now);
+      const perS = notices.observedLimit(request.server, now)?.perS;
+      // If this node knows that the limit was lifted, the response says so.
+      if (perS !== undefined) this.options.issuer.recordRequest(node.ip, request, perS, now);
+      const notified = this.grantDue(request.server);
+      if (!notified.has(node.ip)) this.sendPermits(node, request.server, 0);
     }
-    this.schedule();
+    this.scheduleGrants();
   }
 
-  /** Issues what is due at the server; the nodes that were told. */
-  private issue(server: string): Set<string> {
-    const issues = this.options.issuer.issue(server, performance.now());
-    for (const { node, permits } of issues) {
+  /** Grants the permits that are due at the server; returns the nodes that were notified. */
+  private grantDue(server: string): Set<string> {
+    const grants = this.options.issuer.issue(server, performance.now());
+    for (const { node, permits } of grants) {
       const address = this.addresses.get(node);
-      if (address !== undefined) this.tell(address, server, permits);
+      if (address !== undefined) this.sendPermits(address, server, permits);
     }
-    return new Set(issues.map(({ node }) => node));
+    return new Set(grants.map(({ node }) => node));
   }
 
-  private tell(node: PeerAddress, server: string, permits: number): void {
+  private sendPermits(node: PeerAddress, server: string, permits: number): void {
     const now = performance.now();
     const limit = this.options.notices.observedLimit(server, now);
     if (limit === undefined) return;
     const message = { server, permits, backlog: this.options.issuer.backlog(server, now), limit };
-    if (node.ip === this.options.self.ip) this.take(message);
+    if (node.ip === this.options.self.ip) this.applyPermits(message);
     else this.options.peers.notifyOne("permits", message, node);
   }
 
-  /** Issues again when the next permit that somebody wants is due. */
-  private schedule(): void {
-    clearTimeout(this.issueTimer);
+  /** Schedules the next grant for when the next requested permit is due. */
+  private scheduleGrants(): void {
+    clearTimeout(this.grantTimer);
     const now = performance.now();
-    const asked = this.options.issuer.requestedServers(now);
-    if (asked.length === 0) return;
-    const dueMs = Math.min(...asked.map((server) => this.options.issuer.nextPermitMs(server, now)));
-    this.issueTimer = this.later(Math.max(leastDueMs, dueMs), () => {
-      for (const server of this.options.issuer.requestedServers(performance.now())) this.issue(server);
-      this.schedule();
+    const servers = this.options.issuer.requestedServers(now);
+    if (servers.length === 0) return;
+    const dueMs = Math.min(...servers.map((server) => this.options.issuer.nextPermitMs(server, now)));
+    this.grantTimer = this.setTimer(Math.max(minGrantDelayMs, dueMs), () => {
+      for (const server of this.options.issuer.requestedServers(performance.now())) this.grantDue(server);
+      this.scheduleGrants();
     });
   }
 
@@ -184,11 +186,11 @@
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
       .ifRight((message) => {
-        this.take(message);
+        this.applyPermits(message);
       });
   }
 
-  private take({ server, permits, backlog, limit }: PermitsMessage): void {
+  private applyPermits({ server, permits, backlog, limit }: PermitsMessage): void {
     const now = performance.now();
     const { notices, granted } = this.options;
     const wasLifted = notices.applyPeerLimit(server, limit, now) && limit.perS === undefined;
@@ -196,7 +198,7 @@
     if (permits > 0 || wasLifted) granted.fire(undefined);
   }
 
-  private later(ms: number, action: () => void): NodeJS.Timeout | undefined {
+  private setTimer(ms: number, action: () => void): NodeJS.Timeout | undefined {
     return this.stopped ? undefined : setTimeout(action, ms);
   }
 }
--- a/src/gateway/quarantineGossip.ts
+++ b/src/gateway/quarantineGossip.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the other nodes what this one saw of requests under which servers end, and hears what they saw: one node alone
- * sees few of the ends. By datagram, as it must be known before the caller's next attempt.
+ * Exchanges observations of requests that crash servers with the other nodes, as a single node sees only few of the
+ * crashes. By datagram, as the others have to know before the caller's next attempt.
  */
 import { decodeEither } from "../common/decode.ts";
 import { DisposableStore } from "../common/disposables.ts";
@@ -9,10 +9,10 @@
 import { QuarantineUpdate, type Quarantine } from "../serving/quarantine/quarantine.ts";
 import type { PeerTask } from "./peerTask.ts";
 
-/** News is gathered for this long before it is told, ms: a server that ends cuts all that ran on it at once. */
-const gatherMs = 20;
-/** News is told again after these times, ms, as datagrams are lost. */
-const tellAgainMs = [250, 1_000];
+/** Updates within this time are sent together, ms: a server that crashes breaks the connections of all its requests at once. */
+const batchMs = 20;
+/** An update is sent again after each of these delays, ms, as datagrams are lost. */
+const resendDelaysMs = [250, 1_000];
 
 /** Options of a `QuarantineGossip`. */
 export interface QuarantineGossipOptions {
@@ -20,36 +20,36 @@
   readonly quarantine: Quarantine;
   readonly peers: PeerTask;
   /**
-   * Is it on this node to save holds that others' news leads to? One that stands by tells its news and hears none, so it
-   * doesn't know of the hold itself.
+   * Whether this node saves the entries that other nodes' updates lead to. A standby node sends updates but receives none,
+   * so it doesn't learn of the entry itself.
    */
   readonly savesEntries: () => boolean;
 }
 
-/** Owns the timers of what is still to be told. */
+/** Owns the timers of updates still to be sent. */
 export class QuarantineGossip implements Task {
   readonly name = "quarantine-gossip";
   private readonly disposables = new DisposableStore();
   private readonly timers = new Set<NodeJS.Timeout>();
-  private gathering = false;
+  private batching = false;
 
   constructor(private readonly options: QuarantineGossipOptions) {
     options.peers.handle("quarantine", (params) => {
-      this.hear(params);
+      this.onUpdate(params);
     });
   }
 
   start(): Promise<void> {
     const { quarantine } = this.options;
-    const gather = quarantine.updated.on(() => {
-      if (this.gathering) return;
-      this.gathering = true;
-      this.later(gatherMs, () => {
-        this.gathering = false;
-        this.tell(quarantine.takeUpdate(), tellAgainMs);
+    const subscription = quarantine.updated.on(() => {
+      if (this.batching) return;
+      this.batching = true;
+      this.schedule(batchMs, () => {
+        this.batching = false;
+        this.sendUpdate(quarantine.takeUpdate(), resendDelaysMs);
       });
     });
-    this.disposables.add(gather);
+    this.disposables.add(subscription);
     return Promise.resolve();
   }
 
@@ -58,28 +58,28 @@
     await this.disposables.dispose();
   }
 
-  /** Tells the peers now, and a moment later what of it still counts. */
-  private tell(news: QuarantineUpdate | undefined, againMs: readonly number[]): void {
-    if (news === undefined) return;
-    this.options.peers.notify("quarantine", news);
-    const [nextMs, ...laterMs] = againMs;
+  /** Sends the update to peers now, and after each delay the part of it that is still valid. */
+  private sendUpdate(update: QuarantineUpdate | undefined, delaysMs: readonly number[]): void {
+    if (update === undefined) return;
+    this.options.peers.notify("quarantine", update);
+    const [nextMs, ...remainingMs] = delaysMs;
     if (nextMs === undefined) return;
-    this.later(nextMs, () => {
-      this.tell(this.options.quarantine.stillValid(news), laterMs);
+    this.schedule(nextMs, () => {
+      this.sendUpdate(this.options.quarantine.stillValid(update), remainingMs);
     });
   }
 
-  private hear(params: unknown): void {
+  private onUpdate(params: unknown): void {
     decodeEither(QuarantineUpdate, params)
       .ifLeft((failure) => {
         this.options.log.warn({ event: "peer-message-rejected", detail: failure.message });
       })
-      .ifRight((news) => {
-        this.options.quarantine.applyUpdate(news, this.options.savesEntries(), performance.now());
+      .ifRight((update) => {
+        this.options.quarantine.applyUpdate(update, this.options.savesEntries(), performance.now());
       });
   }
 
-  private later(ms: number, action: () => void): void {
+  private schedule(ms: number, action: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
       action();
--- a/src/gateway/quarantineTask.ts
+++ b/src/gateway/quarantineTask.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the store and this node agreed on the requests that are held back: for nodes that start later, and for those that
- * no peer reaches. Nodes that hear of a newer hold pull it from whoever knows it.
+ * Synchronizes the quarantine with the store, for nodes that start later and for nodes that no peer reaches. A node that
+ * learns of newer entries from a peer's message pulls them from that peer.
  */
 import * as Schema from "effect/Schema";
 import { decode, decodeEither } from "../common/decode.ts";
@@ -16,38 +16,38 @@
 import { TableTask, type TableTaskOptions } from "./tableTask.ts";
 
 const table = "parsleynotch_quarantine";
-/** How long one wait for changes lasts, ms. Peers tell of holds first; this finds the rest, at six calls a minute. */
+/** Duration of one wait for changes, ms. Entries usually arrive from peers first; this finds the rest, at six calls a minute. */
 const waitMs = 10_000;
-/** Pause of a node that leaves reading to others, ms: one that is cut off from its peers reads this much later. */
+/** Pause of a node that isn't a store reader, ms: a node cut off from its peers starts reading with up to this delay. */
 const idleMs = { active: 1_000, standby: 5_000 };
-/** Pause between looks at what is to be saved or dropped, ms. */
-const tidyMs = 1_000;
-/** Rows changed in one commit. */
-const mostChanges = 50;
+/** Interval of checks for entries to save or to drop, ms. */
+const maintenanceMs = 1_000;
+/** Maximum number of rows changed in one commit. */
+const maxRowsPerCommit = 50;
 
-/** A row: when the request is let through, by the store's clock, and how long it is held in all, ms. */
-const HeldRow = Schema.Struct({
+/** A row: when the request is released, by the store's clock, and its total time in quarantine, ms. */
+const EntryRow = Schema.Struct({
   untilMs: Schema.Number,
   forMs: Schema.Number,
-  /** Incarnations whose ends led to it. */
+  /** Incarnations whose crashes led to the entry. */
   ended: Schema.optionalKey(Schema.Array(Schema.String)),
 });
 
-/** What the log says of a change. */
+/** Log event of each kind of change. */
 const changeEvents = { held: "request-quarantined", released: "request-released" };
 
-const HeldEntry = Schema.Struct({
+const PeerEntry = Schema.Struct({
   leftMs: Schema.Number,
   forMs: Schema.Number,
   position: StorePosition,
   ended: Schema.optionalKey(Schema.Array(Schema.String)),
 });
 
-/** All holds that the store is known to have, for a peer. */
-const HeldResult = Schema.Struct({
-  /** The store's position of the newest change of holds. */
+/** All entries known to be in the store, for a peer. */
+const PeerEntries = Schema.Struct({
+  /** Store position of the newest change of entries. */
   position: StorePosition,
-  held: Schema.Record(Schema.String, HeldEntry),
+  held: Schema.Record(Schema.String, PeerEntry),
 });
 
 /** Options of a `QuarantineTask`. */
@@ -59,39 +59,39 @@
   readonly callPeer: (peer: PeerVersions, method: string, params: unknown) => Promise<unknown>;
 }
 
-/** Owns what is told and saved. */
+/** Reads entries from the store and from peers, and writes this node's to the store. */
 export class QuarantineTask extends TableTask {
-  private known = initialPosition;
-  /** Of the last answer of the store. */
-  private readAt = initialPosition;
-  /** The store's clock less this node's steady one, ms. */
+  private newestKnown = initialPosition;
+  /** Position of the store's last response. */
+  private readPosition = initialPosition;
+  /** The store's clock minus this node's monotonic clock, ms; undefined until the store has answered. */
   private clockOffsetMs: number | undefined;
   private pulling = false;
   private saving = false;
-  /** Rows to remove, with the position that they have. */
-  private readonly released = new Map<string, StorePosition>();
+  /** Rows to remove, with their positions. */
+  private readonly pendingRemovals = new Map<string, StorePosition>();
   private readonly disposables = new DisposableStore();
-  private watching: NodeJS.Timeout | undefined;
+  private maintenanceTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: QuarantineTaskOptions) {
     super({ name: "quarantine", table, waitMs, idleMs }, options);
   }
 
-  /** The store's position of the newest change of holds that is known here. */
+  /** Store position of the newest change of entries that this node knows. */
   get position(): StorePosition {
-    return this.known;
+    return this.newestKnown;
   }
 
-  /** Methods for peers. */
+  /** RPC methods for peers. */
   get handlers(): Record<string, Handler> {
-    return { "quarantine.get": () => Promise.resolve(this.toTell()) };
+    return { "quarantine.get": () => Promise.resolve(this.savedEntries()) };
   }
 
   override start(): Promise<void> {
     const { quarantine } = this.options;
     this.disposables.add(
       quarantine.updated.on(() => {
-        this.watch();
+        this.scheduleMaintenance();
       }),
     );
     this.disposables.add(
@@ -104,16 +104,16 @@
 
   override async dispose(): Promise<void> {
     await super.dispose();
-    clearTimeout(this.watching);
+    clearTimeout(this.maintenanceTimer);
     await this.disposables.dispose();
   }
 
-  /** A peer may know of newer holds. */
+  /** Pulls the peer's entries if they are newer. */
   async pullIfNewer(peer: PeerVersions): Promise<void> {
-    if (!isAfter(peer.quarantinePosition ?? initialPosition, this.known) || this.pulling) return;
+    if (!isAfter(peer.quarantinePosition ?? initialPosition, this.newestKnown) || this.pulling) return;
     this.pulling = true;
     try {
-      this.takeAll(decode(HeldResult, await this.options.callPeer(peer, "quarantine.get", {})));
+      this.applyPeerEntries(decode(PeerEntries, await this.options.callPeer(peer, "quarantine.get", {})));
     } catch (error) {
       const detail = toFailure(error).message;
       this.options.log.debug({ event: "quarantine-not-pulled", peer: peer.host, detail });
@@ -122,121 +122,122 @@
     }
   }
 
-  /** A node that has just started hears of holds with its peers' first pulses, or reads as it hears none. */
-  protected override get lacking(): boolean {
+  /** A node that has just started learns of entries by its peers' first heartbeats, or becomes a store reader without any. */
+  protected override get hasNoData(): boolean {
     return false;
   }
 
-  protected override readWhole(): Promise<RowSet> {
+  protected override readAll(): Promise<RowSet> {
     return this.options.store.list(table);
   }
 
-  protected override take(set: RowSet, whole: boolean): void {
+  protected override applyRows(set: RowSet, complete: boolean): void {
     const { quarantine } = this.options;
     this.clockOffsetMs = set.nowMs - performance.now();
-    this.readAt = set.position;
-    for (const row of set.rows) this.takeRow(row);
+    this.readPosition = set.position;
+    for (const row of set.rows) this.applyRow(row);
     for (const fingerprint of set.removed) quarantine.remove(fingerprint, performance.now());
-    if (set.removed.length > 0) this.known = laterOf(this.known, set.position);
-    if (whole) this.releaseMissing(new Set(set.rows.map(({ key }) => key)), set.position);
-    this.watch();
+    if (set.removed.length > 0) this.newestKnown = laterOf(this.newestKnown, set.position);
+    if (complete) this.removeMissing(new Set(set.rows.map(({ key }) => key)), set.position);
+    this.scheduleMaintenance();
   }
 
-  /** Its waits last so long that one which fails tells of the store as it was; the tasks that read often tell of it now. */
-  protected override noteCall(failure: Failure | undefined): void {
+  /** Doesn't update the store health: with waits this long, a failure may be outdated; tasks that read more often do it. */
+  protected override recordResult(failure: Failure | undefined): void {
     if (failure === undefined) return;
     this.options.log.debug({ event: "quarantine-not-read", kind: failure.kind, detail: failure.message });
   }
 
-  private takeRow({ key, value, position }: Row): void {
-    decodeEither(HeldRow, parseJson(value))
+  private applyRow({ key, value, position }: Row): void {
+    decodeEither(EntryRow, parseJson(value))
       .ifLeft((failure) => {
         this.options.log.warn({ event: "quarantine-row-rejected", row: key, detail: failure.message });
       })
       .ifRight(({ untilMs, forMs, ended }) => {
-        const hold = { untilMs: untilMs - (this.clockOffsetMs ?? 0), forMs, ended };
-        this.options.quarantine.applyEntry(key, hold, position, performance.now());
-        this.known = laterOf(this.known, position);
+        const entry = { untilMs: untilMs - (this.clockOffsetMs ?? 0), forMs, ended };
+        this.options.quarantine.applyEntry(key, entry, position, performance.now());
+        this.newestKnown = laterOf(this.newestKnown, position);
       });
   }
 
   /**
-   * Holds that the store had and has no more, as of its position `asOf`. One written before the store came back from a copy
-   * is lost with it, not released.
+   * Removes entries that were in the store and no longer are as of its position `asOf`. An entry written before the store
+   * was restored from a backup may have been lost rather than removed, so it is kept and saved again.
    */
-  private releaseMissing(present: ReadonlySet<string>, asOf: StorePosition): void {
-    const { quarantine, shouldReadStore: reads, log } = this.options;
+  private removeMissing(present: ReadonlySet<string>, asOf: StorePosition): void {
+    const { quarantine, shouldReadStore, log } = this.options;
     const now = performance.now();
     for (const [fingerprint, row] of quarantine.entries.writtenUpTo(asOf)) {
       if (present.has(fingerprint) || row.era === asOf.era) continue;
       log.info({ event: "quarantine-row-lost", fingerprint });
-      quarantine.entries.markUnsaved(fingerprint, reads(), now);
+      quarantine.entries.markUnsaved(fingerprint, shouldReadStore(), now);
     }
     for (const [fingerprint, { row }] of quarantine.entries.saved()) {
       if (present.has(fingerprint) || row === undefined || isAfter(row, asOf)) continue;
       quarantine.remove(fingerprint, now);
-      this.known = laterOf(this.known, asOf);
+      this.newestKnown = laterOf(this.newestKnown, asOf);
     }
   }
 
-  private toTell(): typeof HeldResult.Type {
+  private savedEntries(): typeof PeerEntries.Type {
     const now = performance.now();
     const held = this.options.quarantine.entries
       .saved()
-      .map(([fingerprint, { untilMs, forMs, row, ended }]): [string, typeof HeldEntry.Type] => [
+      .map(([fingerprint, { untilMs, forMs, row, ended }]): [string, typeof PeerEntry.Type] => [
         fingerprint,
         { leftMs: untilMs - now, forMs, position: row ?? initialPosition, ...endedOf(ended) },
       ]);
-    return { position: this.known, held: Object.fromEntries(held) };
+    return { position: this.newestKnown, held: Object.fromEntries(held) };
   }
 
-  private takeAll({ position, held }: typeof HeldResult.Type): void {
+  private applyPeerEntries({ position, held }: typeof PeerEntries.Type): void {
     const now = performance.now();
     for (const [fingerprint, { leftMs, forMs, position: row, ended }] of Object.entries(held))
       this.options.quarantine.applyEntry(fingerprint, { untilMs: now + leftMs, forMs, ended }, row, now);
-    this.releaseMissing(new Set(Object.keys(held)), position);
-    this.known = laterOf(this.known, position);
-    this.watch();
+    this.removeMissing(new Set(Object.keys(held)), position);
+    this.newestKnown = laterOf(this.newestKnown, position);
+    this.scheduleMaintenance();
   }
 
-  /** Looks at what is to be saved or dropped, for as long as anything is known: most nodes know of nothing. */
-  private watch(): void {
+  /** Schedules saving and dropping of entries while there are any; most of the time there are none. */
+  private scheduleMaintenance(): void {
     const { quarantine } = this.options;
-    if (this.stopped || (quarantine.isEmpty && this.released.size === 0)) return;
-    this.watching ??= setTimeout(() => {
-      this.watching = undefined;
+    if (this.stopped || (quarantine.isEmpty && this.pendingRemovals.size === 0)) return;
+    this.maintenanceTimer ??= setTimeout(() => {
+      this.maintenanceTimer = undefined;
       quarantine.expire(performance.now(), this.options.shouldReadStore());
       void this.save();
-      this.watch();
-    }, tidyMs);
+      this.scheduleMaintenance();
+    }, maintenanceMs);
   }
 
   private onChange({ fingerprint, kind, own, row }: QuarantineChange): void {
     const { log, quarantine, metrics } = this.options;
     if (kind !== "forgotten") log.warn({ event: changeEvents[kind], fingerprint, own });
     metrics.quarantined.set(quarantine.entries.activeCount(performance.now()));
-    this.watch();
+    this.scheduleMaintenance();
     if (!own) return;
-    if (kind !== "held" && row !== undefined) this.released.set(fingerprint, row);
+    if (kind !== "held" && row !== undefined) this.pendingRemovals.set(fingerprint, row);
     void this.save();
   }
 
-  /** Writes what the store doesn't have yet; what fails is tried again at the next look. */
+  /** Writes what the store doesn't have yet; a failed write is retried at the next check. */
   private async save(): Promise<void> {
     const { store, quarantine, log } = this.options;
-    const due = quarantine.entries.unsaved(performance.now()).length > 0 || this.released.size > 0;
-    if (this.saving || !due) return;
+    const hasChanges =
+      quarantine.entries.unsaved(performance.now()).length > 0 || this.pendingRemovals.size > 0;
+    if (this.saving || !hasChanges) return;
     this.saving = true;
     try {
-      // Without the store's clock there is no telling when a hold ends.
-      if (this.clockOffsetMs === undefined) this.take(await store.list(table), true);
+      // The end of an entry is written by the store's clock, so that has to be known.
+      if (this.clockOffsetMs === undefined) this.applyRows(await store.list(table), true);
       await store.commit(this.changesToSave(this.clockOffsetMs ?? 0));
-      await this.readAgain();
+      await this.reload();
     } catch (error) {
       const { kind, message } = toFailure(error);
       log.info({ event: "quarantine-not-saved", kind, detail: message });
-      // Another node wrote or removed it first.
-      if (kind === "conflict") await this.readAgain();
+      // Another node wrote or removed the row first.
+      if (kind === "conflict") await this.reload();
     } finally {
       this.saving = false;
     }
@@ -248,20 +249,20 @@
       table,
       key,
       value: JSON.stringify({ untilMs: Math.round(untilMs + offsetMs), forMs, ...endedOf(ended) }),
-      expected: row ?? absentAt(this.readAt),
+      expected: row ?? absentAt(this.readPosition),
     }));
-    const removed = [...this.released].map(([key, expected]) => ({ table, key, expected }));
-    return [...held, ...removed].slice(0, mostChanges);
+    const removed = [...this.pendingRemovals].map(([key, expected]) => ({ table, key, expected }));
+    return [...held, ...removed].slice(0, maxRowsPerCommit);
   }
 
   /**
-   * Reads all rows after a commit. Guards "a hold is lost": rows of other nodes may lie between the newest one known here
-   * and the one just written, and whoever took the latter's version for all that there is would drop them.
+   * Reads all rows after a commit. Rows of other nodes may lie between the newest one known here and the one just written;
+   * if the written row's position were taken as the newest known one, those entries would be dropped.
    */
-  private async readAgain(): Promise<void> {
-    this.released.clear();
+  private async reload(): Promise<void> {
+    this.pendingRemovals.clear();
     try {
-      this.take(await this.options.store.list(table), true);
+      this.applyRows(await this.options.store.list(table), true);
     } catch (error) {
       this.options.log.info({ event: "quarantine-not-read", detail: toFailure(error).message });
     }
@@ -276,7 +277,7 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // The decoder names what is missing.
+    // The decoder reports what is missing.
     return undefined;
   }
 }
--- a/src/gateway/runLockTask.ts
+++ b/src/gateway/runLockTask.ts
@@ -1,4 +1,4 @@
-/** Acquires the run lock of a suspected request from the node that gives it out, and renews it while a copy runs. */
+/** Acquires the run lock of a suspected request from the node that owns the lock, and renews it while the request runs. */
 import * as Schema from "effect/Schema";
 import { decode } from "../common/decode.ts";
 import type { Disposable } from "../common/disposables.ts";
@@ -11,8 +11,8 @@
 
 /** Period at which a lock is renewed, ms. */
 const renewMs = 400;
-/** After a cut the lock is given back so much later, ms: word of the cut has to reach the other nodes first. */
-const cutSpreadMs = 80;
+/** Delay of the release after a lost connection, ms: the report of it has to reach the other nodes first. */
+const cutReleaseDelayMs = 80;
 
 const LockParams = Schema.Struct({ node: Schema.String, fingerprint: Schema.String });
 
@@ -21,24 +21,24 @@
   readonly log: Log;
   readonly self: PeerAddress;
   readonly peers: PeerTask;
-  /** The node that gives out the lock of the request. */
+  /** The node that grants the lock of the request. */
   readonly ownerOf: (fingerprint: string) => PeerAddress;
-  /** Everything that arrived before this moment has been read, ms: a renewal may lie unread. */
+  /** All input that arrived before this time has been read, ms; a later renewal may still be unread. */
   readonly readUntilMs: () => number;
 }
 
-/** A lock held by this node; dispose to give it back. */
+/** A lock held by this node; dispose to release it. */
 export interface RunLock extends Disposable {
-  /** The copy was cut: the lock is given back once other nodes can know it. */
+  /** The connection was lost before the response was complete: the lock is released once other nodes can know of it. */
   markCut(): void;
 }
 
-/** Owns the locks that this node holds, and those that it gives out. */
+/** Owns the locks that this node holds and those that it grants. */
 export class RunLockTask implements Task {
   readonly name = "run-locks";
   private readonly locks = new RunLocks();
-  /** Requests whose lock is held here, or asked for. */
-  private readonly held = new Set<string>();
+  /** Requests whose lock this node holds or has requested. */
+  private readonly heldOrRequested = new Set<string>();
   private readonly timers = new Set<NodeJS.Timeout>();
 
   constructor(private readonly options: RunLockTaskOptions) {
@@ -62,37 +62,37 @@
     return Promise.resolve();
   }
 
-  /** The lock of the request; undefined while another copy, here or elsewhere, holds it. */
+  /** The lock of the request; undefined while a duplicate, on this node or another, holds it. */
   async acquire(fingerprint: string): Promise<RunLock | undefined> {
-    if (this.held.has(fingerprint)) return undefined;
-    this.held.add(fingerprint);
-    if (await this.ask(fingerprint)) return this.hold(fingerprint);
-    this.held.delete(fingerprint);
+    if (this.heldOrRequested.has(fingerprint)) return undefined;
+    this.heldOrRequested.add(fingerprint);
+    if (await this.requestLock(fingerprint)) return this.startRenewal(fingerprint);
+    this.heldOrRequested.delete(fingerprint);
     return undefined;
   }
 
-  private hold(fingerprint: string): RunLock {
-    const timer = setInterval(() => void this.ask(fingerprint), renewMs);
+  private startRenewal(fingerprint: string): RunLock {
+    const timer = setInterval(() => void this.requestLock(fingerprint), renewMs);
     this.timers.add(timer);
     let isCut = false;
     const release = (): void => {
       clearInterval(timer);
       this.timers.delete(timer);
-      this.held.delete(fingerprint);
-      void this.giveBack(fingerprint);
+      this.heldOrRequested.delete(fingerprint);
+      void this.releaseLock(fingerprint);
     };
     return {
       markCut: () => {
         isCut = true;
       },
       dispose: () => {
-        if (isCut) setTimeout(release, cutSpreadMs);
+        if (isCut) setTimeout(release, cutReleaseDelayMs);
         else release();
       },
     };
   }
 
-  private async ask(fingerprint: string): Promise<boolean> {
+  private async requestLock(fingerprint: string): Promise<boolean> {
     const { self, peers, ownerOf } = this.options;
     const now = performance.now();
     this.locks.expire(this.options.readUntilMs());
@@ -110,7 +110,7 @@
     }
   }
 
-  private async giveBack(fingerprint: string): Promise<void> {
+  private async releaseLock(fingerprint: string): Promise<void> {
     const { self, peers, ownerOf } = this.options;
     const owner = ownerOf(fingerprint);
     if (owner.ip === self.ip) {
@@ -120,7 +120,7 @@
     try {
       await peers.call(owner, "runLock.release", { node: self.ip, fingerprint });
     } catch (error) {
-      // It is free by itself once it isn't renewed.
+      // The lock expires when it isn't renewed.
       this.options.log.debug({
         event: "run-lock-not-released",
         fingerprint,
--- a/src/gateway/storeHealth.ts
+++ b/src/gateway/storeHealth.ts
@@ -1,17 +1,17 @@
-/** Whether the store answers this node: notices loss and return, and logs each once. */
+/** Tracks whether the store answers this node, and logs each loss and recovery once. */
 import type { Failure } from "../common/errors.ts";
 import { Emitter } from "../common/emitter.ts";
 import type { Log } from "../common/log.ts";
 import type { GatewayMetrics } from "./gatewayMetrics.ts";
 
-/** Outages shorter than this can't have let a registration lapse, ms: under one heartbeat. */
-const shortOutageMs = 800;
+/** Shorter outages can't have let a registration expire, ms: less than one heartbeat of a server. */
+const minReportedOutageMs = 800;
 
-/** The state of the link, told by every task that calls the store. */
+/** Updated by every task that calls the store. */
 export class StoreHealth {
-  private lostSinceMs: number | undefined;
-  /** Fired with the length of the outage, ms, at the first answer after one. */
-  readonly returned = new Emitter<number>();
+  private unavailableSinceMs: number | undefined;
+  /** Fired with the duration of an outage, ms, at the first response after it. */
+  readonly recovered = new Emitter<number>();
 
   constructor(
     private readonly log: Log,
@@ -20,23 +20,23 @@
     metrics.storeReachable.set(1);
   }
 
-  /** Does the store answer, as far as is known? */
+  /** Whether the store answered the most recent call. */
   get reachable(): boolean {
-    return this.lostSinceMs === undefined;
+    return this.unavailableSinceMs === undefined;
   }
 
-  succeeded(): void {
-    if (this.lostSinceMs === undefined) return;
-    const outageMs = performance.now() - this.lostSinceMs;
-    this.lostSinceMs = undefined;
+  recordSuccess(): void {
+    if (this.unavailableSinceMs === undefined) return;
+    const outageMs = performance.now() - this.unavailableSinceMs;
+    this.unavailableSinceMs = undefined;
     this.metrics.storeReachable.set(1);
     this.log.info({ event: "store-regained", outageMs: Math.round(outageMs) });
-    if (outageMs >= shortOutageMs) this.returned.fire(outageMs);
+    if (outageMs >= minReportedOutageMs) this.recovered.fire(outageMs);
   }
 
-  failed(failure: Failure): void {
-    if (this.lostSinceMs !== undefined) return;
-    this.lostSinceMs = performance.now();
+  recordFailure(failure: Failure): void {
+    if (this.unavailableSinceMs !== undefined) return;
+    this.unavailableSinceMs = performance.now();
     this.metrics.storeReachable.set(0);
     this.log.warn({ event: "store-lost", kind: failure.kind, detail: failure.message });
   }
--- a/src/gateway/storeReaderRole.ts
+++ b/src/gateway/storeReaderRole.ts
@@ -1,68 +1,66 @@
-/** Whether it is on this node to read the store for all, by what it hears of the others' reads. */
+/** Decides whether this node is one of the store readers, by the age of the other nodes' reads as they report it. */
 import { maxFreshReadAgeMs, shouldReadStore, type StoreReader } from "../serving/membership/storeReaders.ts";
 import type { PeerTable } from "../serving/membership/peerTable.ts";
 
 /**
- * A node that stands by reads the store itself when no active one read it for this long, ms: two missed periods of
- * reading, and the two of its questions in which it hears of it.
+ * A standby node reads the store itself when no active node has read it for this long, ms: two missed read periods, and
+ * the two polls by which a standby node learns of a read.
  */
-const standbyReadMs = 3_000;
+const standbyReadAfterMs = 3_000;
 
-/** Options of a `ReadingDuty`. */
-export interface ReadingDutyOptions {
+/** Options of a `StoreReaderRole`. */
+export interface StoreReaderRoleOptions {
   readonly ip: string;
   readonly table: PeerTable;
-  /** Everything that arrived before this moment has been read, ms. */
+  /** All input that arrived before this time has been read, ms. */
   readonly readUntilMs: () => number;
   readonly active: () => boolean;
   readonly holdsLease: () => boolean;
-  /** Time since this node's last read that succeeded, ms. */
+  /** Time since this node's last successful read, ms. */
   readonly readAgeMs: () => number;
-  /** Time since any active node read, as a node that stands by hears it, ms. */
+  /** Time since any active node read the store, as reported to this node while on standby, ms. */
   readonly reportedReadAgeMs: () => number;
 }
 
-/** Decides by the moment. */
+/** Evaluated anew at each access. */
 export class StoreReaderRole {
   private readonly startedMs = performance.now();
 
-  constructor(private readonly options: ReadingDutyOptions) {}
+  constructor(private readonly options: StoreReaderRoleOptions) {}
 
-  /** Should this node read now? */
+  /** Whether this node should read the store now. */
   get shouldRead(): boolean {
     const { ip, active, holdsLease, readAgeMs } = this.options;
-    if (!active() && this.leavesReading) return false;
+    if (!active() && this.activeNodeReads) return false;
     return shouldReadStore({ ip, isLeaseHolder: holdsLease(), readAgeMs: readAgeMs() }, this.readers());
   }
 
-  /** Time since any active node read the store, as far as is known, ms. */
+  /** Time since any node is known to have read the store, ms; infinite if none is. */
   get freshestReadAgeMs(): number {
-    const { readAgeMs, reportedReadAgeMs: heardReadAgeMs } = this.options;
-    return Math.min(readAgeMs(), heardReadAgeMs(), ...this.readers().map((reader) => reader.readAgeMs));
+    const { readAgeMs, reportedReadAgeMs } = this.options;
+    return Math.min(readAgeMs(), reportedReadAgeMs(), ...this.readers().map((reader) => reader.readAgeMs));
   }
 
-  /** Did a peer read lately? */
+  /** Whether a peer read the store recently. */
   get storeReachableByPeers(): boolean {
     return this.readers().some((reader) => reader.readAgeMs < maxFreshReadAgeMs);
   }
 
   /**
-   * A node that stands by reads only while no active one is known to; one that has just started waits for their word.
-   * Guards "a start costs calls for each host": hundreds of hosts each read servers and configuration before they heard any.
+   * Whether a standby node leaves reading to active nodes: while one is known to read, and shortly after its own start. At
+   * a start, hundreds of hosts would otherwise each read servers and configuration before they received any roster.
    */
-  private get leavesReading(): boolean {
-    if (performance.now() - this.startedMs < standbyReadMs) return true;
-    return this.options.reportedReadAgeMs() < standbyReadMs;
+  private get activeNodeReads(): boolean {
+    if (performance.now() - this.startedMs < standbyReadAfterMs) return true;
+    return this.options.reportedReadAgeMs() < standbyReadAfterMs;
   }
 
-  /** Live peers, with how long ago each read the store. */
+  /** Live peers, with the time since each read the store. */
   private readers(): StoreReader[] {
     const now = performance.now();
-    return this.options.table
-      .alive(this.options.readUntilMs())
-      .map(({ status: pulse, lastHeardMs: heardMs }) => {
-        const readAgeMs = (pulse.readAgeMs ?? Number.POSITIVE_INFINITY) + (now - heardMs);
-        return { ip: pulse.ip, isLeaseHolder: pulse.token !== undefined, readAgeMs };
-      });
+    return this.options.table.alive(this.options.readUntilMs()).map(({ status, lastHeardMs }) => {
+      const readAgeMs = (status.readAgeMs ?? Number.POSITIVE_INFINITY) + (now - lastHeardMs);
+      return { ip: status.ip, isLeaseHolder: status.token !== undefined, readAgeMs };
+    });
   }
 }
