--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -59,7 +59,7 @@
  */
 const activationDelayMs = 400;
 const activationTurnMs = 700;
-/** Turns that are waited for at most: with hundreds of nodes in a zone, most of them dead, one still takes over in seconds. */
+/** Maximum number of turns to wait: even with hundreds of nodes in a zone, most of them dead, one takes over in seconds. */
 const maxActivationTurns = 6;
 /**
  * A surplus node returns to standby after `retirementDelayMs`, and `retirementTurnMs` later for each node whose turn comes
--- a/src/gateway/fleetTask.ts
+++ b/src/gateway/fleetTask.ts
@@ -86,7 +86,7 @@
   private lastReadMs = Number.NEGATIVE_INFINITY;
   /** When the store was last known not to answer any peer, ms. */
   private storeUnreachableMs = Number.NEGATIVE_INFINITY;
-  /** Store position up to which changes were pulled from peers that read the store, or read by this node in an earlier era. */
+  /** Store position up to which changes were pulled from store readers, or read by this node in an earlier era. */
   private pulledUpTo = initialPosition;
   /** What was last pulled from each peer, by address. */
   private readonly pulled = new Map<string, PulledState>();
@@ -204,7 +204,7 @@
     return this.options.active() || this.options.shouldReadStore() ? periodMs : standbyPeriodMs;
   }
 
-  /** While the store doesn't answer this node and others read it, this node checks now and then whether it answers again. */
+  /** While the store doesn't answer this node but answers others, this node probes it now and then. */
   private shouldProbe(now: number): boolean {
     return !this.options.storeHealth.reachable && now - this.lastAttemptMs >= probeIntervalMs;
   }
--- a/src/gateway/quarantineGossip.ts
+++ b/src/gateway/quarantineGossip.ts
@@ -9,7 +9,7 @@
 import { QuarantineUpdate, type Quarantine } from "../serving/quarantine/quarantine.ts";
 import type { PeerTask } from "./peerTask.ts";
 
-/** Updates within this time are sent together, ms: a server that crashes breaks the connections of all its requests at once. */
+/** Updates within this time are sent together, ms: a crash breaks the connections of all the server's requests at once. */
 const batchMs = 20;
 /** An update is sent again after each of these delays, ms, as datagrams are lost. */
 const resendDelaysMs = [250, 1_000];
--- a/src/gateway/quarantineTask.ts
+++ b/src/gateway/quarantineTask.ts
@@ -16,7 +16,7 @@
 import { TableTask, type TableTaskOptions } from "./tableTask.ts";
 
 const table = "parsleynotch_quarantine";
-/** Duration of one wait for changes, ms. Entries usually arrive from peers first; this finds the rest, at six calls a minute. */
+/** Duration of one wait for changes, ms. Most entries arrive from peers first; this finds the rest, at six calls a minute. */
 const waitMs = 10_000;
 /** Pause of a node that isn't a store reader, ms: a node cut off from its peers starts reading with up to this delay. */
 const idleMs = { active: 1_000, standby: 5_000 };
@@ -122,7 +122,7 @@
     }
   }
 
-  /** A node that has just started learns of entries by its peers' first heartbeats, or becomes a store reader without any. */
+  /** After a start, the peers' first heartbeats tell of newer entries; without any, the node becomes a store reader. */
   protected override get hasNoData(): boolean {
     return false;
   }
