--- a/src/entry/heldRequests.ts
+++ b/src/entry/heldRequests.ts
@@ -33,7 +33,7 @@
 
   /** Rejects a request that is held back with `quarantined`. */
   check(fingerprint: string, requestId: string): void {
-    if (this.options.quarantine.remainingMs(fingerprint, performance.now()) <= 0) return;
+    if (this.options.quarantine.timeLeftMs(fingerprint, performance.now()) <= 0) return;
     throw new Failure("quarantined", "held back, as engines ended while they ran it", requestId);
   }
 
--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -86,10 +86,10 @@
   readonly log: Log;
   readonly table: PeerTable;
   /** All input that arrived before this time has been read, ms; a peer's silence is measured up to it, not up to now. */
-  readonly readUntilMs: () => number;
+  readonly readUpToMs: () => number;
   readonly peers: Pick<PeerTask, "handle" | "heartbeatReceived" | "broadcastHeartbeat" | "notifyOne">;
   /** This node's status as its peers see it. */
-  readonly standing: () => NodeStatus;
+  readonly nodeStatus: () => NodeStatus;
   /** Revision of the newest change to the set of servers. */
   readonly presenceRevision: () => number;
   /** Store position of the newest change to the quarantine. */
@@ -186,8 +186,8 @@
     const now = performance.now();
     const { table } = this.options;
     const view = {
-      self: this.options.standing(),
-      active: table.active(this.options.readUntilMs()),
+      self: this.options.nodeStatus(),
+      active: table.active(this.options.readUpToMs()),
       knownNodes: table.knownNodes,
       mostPerStep: this.options.mostPerStep,
     };
@@ -250,7 +250,7 @@
     this.subscribers.clear();
     this.stateChangedMs = performance.now();
     this.pendingSource = undefined;
-    const { zone } = this.options.standing();
+    const { zone } = this.options.nodeStatus();
     const inZone = others.filter((node) => node.zone === zone).map(({ ip, busy }) => `${ip} ${busy}`);
     this.options.log.info({ event: active ? "activated" : "retired", others: others.length, inZone });
     this.options.peers.broadcastHeartbeat();
@@ -259,35 +259,35 @@
 
   private pollRosterSource(): void {
     const now = performance.now();
-    const { table, peers, readUntilMs } = this.options;
+    const { table, peers, readUpToMs } = this.options;
     const pending = this.pendingSource;
     if (pending === undefined && now - this.lastPollMs < pollIntervalMs - periodMs / 2) return;
-    if (pending !== undefined && readUntilMs() - this.lastPollMs < responseTimeoutMs) return;
+    if (pending !== undefined && readUpToMs() - this.lastPollMs < responseTimeoutMs) return;
     if (pending !== undefined) this.noteUnanswered(pending);
-    const { ip, port, zone, strength } = this.options.standing();
+    const { ip, port, zone, strength } = this.options.nodeStatus();
     const node = { ip, port, zone, strength };
-    const sources = table.rosterSources(readUntilMs()).slice(0, rosterSourceCount);
+    const sources = table.rosterSources(readUpToMs()).slice(0, rosterSourceCount);
     this.pollCount += 1;
     this.lastPollMs = now;
     const source = sources[this.pollCount % Math.max(1, sources.length)];
     this.pendingSource = source?.ip;
     // If no node is known to be active, all that may be are polled.
-    const recipients = source === undefined ? table.recipients(readUntilMs(), true) : [source];
+    const recipients = source === undefined ? table.recipients(readUpToMs(), true) : [source];
     for (const peer of recipients)
       peers.notifyOne("roster.ask", { node, digest: this.digests.get(peer.ip) ?? "" }, peer);
   }
 
   private pollForUnknownPeers(): void {
     const now = performance.now();
-    const { table, peers, readUntilMs } = this.options;
+    const { table, peers, readUpToMs } = this.options;
     const intervalMs = now - this.stateChangedMs < recentActivationMs ? 0 : activePollIntervalMs;
     if (now - this.lastPollMs < intervalMs || isSmallFleet(table.knownNodes)) return;
-    const sources = table.rosterSources(readUntilMs());
+    const sources = table.rosterSources(readUpToMs());
     this.pollCount += 1;
     this.lastPollMs = now;
     const source = sources[this.pollCount % Math.max(1, sources.length)];
     if (source === undefined) return;
-    const { ip, port, zone, strength } = this.options.standing();
+    const { ip, port, zone, strength } = this.options.nodeStatus();
     const node = { ip, port, zone, strength };
     peers.notifyOne("roster.ask", { node, digest: this.digests.get(source.ip) ?? "" }, source);
   }
@@ -310,7 +310,7 @@
     if (key === this.sentKey) return;
     this.sentKey = key;
     this.sentMs = now;
-    this.sentOverutilization = this.overutilization(this.options.standing());
+    this.sentOverutilization = this.overutilization(this.options.nodeStatus());
     for (const [ip, subscriber] of this.subscribers) {
       if (now - subscriber.requestedMs >= subscriptionTtlMs) this.subscribers.delete(ip);
       else this.sendRoster(subscriber, roster);
@@ -321,7 +321,7 @@
   private onHeartbeat(heartbeat: Heartbeat): void {
     if (!this.isActive || (this.sentOverutilization === 0 && !isOverutilized([heartbeat]))) return;
     const now = performance.now();
-    const self = this.options.standing();
+    const self = this.options.nodeStatus();
     if (heartbeat.zone !== self.zone || now - this.sentMs < minUpdateIntervalMs) return;
     const overutilization = this.overutilization(self);
     if (overutilization > this.sentOverutilization || (overutilization === 0 && this.sentOverutilization > 0))
@@ -346,7 +346,7 @@
         const now = performance.now();
         const subscriber = { node, requestedMs: now, digest };
         const receivesHeartbeats = this.options.table
-          .alive(this.options.readUntilMs())
+          .alive(this.options.readUpToMs())
           .some(({ status }) => status.ip === node.ip);
         if (!receivesHeartbeats) this.subscribers.set(node.ip, subscriber);
         this.sendRoster(subscriber, this.roster());
@@ -355,13 +355,13 @@
 
   /** This node's roster message, without entries. */
   private roster(): Roster {
-    const { table, readAgeMs, readUntilMs } = this.options;
-    const self = this.options.standing();
+    const { table, readAgeMs, readUpToMs } = this.options;
+    const self = this.options.nodeStatus();
     const { host, boot, ip, port, version, storeEra } = self;
     const fleetRevision = this.options.presenceRevision();
     const quarantinePosition = this.options.quarantinePosition();
     const overutilization = this.overutilization(self);
-    const digest = `${table.digest(readUntilMs())} ${String(this.isActive)} ${String(self.ready)} ${overutilization}`;
+    const digest = `${table.digest(readUpToMs())} ${String(this.isActive)} ${String(self.ready)} ${overutilization}`;
     const age = readAgeMs();
     const read = Number.isFinite(age) ? { readAgeMs: Math.round(age) } : {};
     const era = storeEra === undefined ? {} : { storeEra };
@@ -371,18 +371,18 @@
 
   /** Only for this zone: the nodes of other zones report their own. */
   private overutilization(self: NodeStatus): number {
-    const nodes = this.isActive ? [...this.options.table.active(this.options.readUntilMs()), self] : [];
+    const nodes = this.isActive ? [...this.options.table.active(this.options.readUpToMs()), self] : [];
     return overutilizationLevel(nodes.filter(({ zone }) => zone === self.zone));
   }
 
   private entries(): Roster["entries"] {
-    const { table, readUntilMs } = this.options;
-    const readMs = readUntilMs();
+    const { table, readUpToMs } = this.options;
+    const readMs = readUpToMs();
     const entries = table.alive(readMs).map(({ status, lastHeardMs }) => ({
       standing: encodeStatus(status),
       ageMs: Math.max(0, Math.round(readMs - lastHeardMs)),
     }));
-    if (this.isActive) entries.push({ standing: encodeStatus(this.options.standing()), ageMs: 0 });
+    if (this.isActive) entries.push({ standing: encodeStatus(this.options.nodeStatus()), ageMs: 0 });
     return entries;
   }
 
@@ -408,7 +408,7 @@
     const { table, peers } = this.options;
     if (entries.length > 0) this.digests.set(ip, digest);
     const known = new Set(
-      [this.options.standing(), ...table.active(this.options.readUntilMs())].map((node) => node.ip),
+      [this.options.nodeStatus(), ...table.active(this.options.readUpToMs())].map((node) => node.ip),
     );
     const unknownPeers = entries.filter(({ standing }) => !known.has(standing.ip));
     for (const { standing } of unknownPeers) table.addContact(standing, now);
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -36,7 +36,7 @@
   /** Only for streams. */
   readonly sink: StreamSink | undefined;
   /** Id of the last event already delivered to the caller. */
-  readonly afterEvent: number | undefined;
+  readonly lastDeliveredEvent: number | undefined;
   /** The server counts as unresponsive if the first byte takes longer than this, ms. */
   readonly firstByteTimeoutMs: number;
   /** The server counts as unresponsive if the gap between two events exceeds this, ms. */
@@ -88,9 +88,9 @@
 /** Callbacks for the progress of an attempt. */
 export interface AttemptListener {
   /** The response headers were received. */
-  answer(metadata: ResponseMetadata): void;
+  onResponse(metadata: ResponseMetadata): void;
   /** The first byte of the body, or the first event, was received. */
-  firstByte(): void;
+  onFirstByte(): void;
 }
 
 /** Sends a request once. */
@@ -120,7 +120,7 @@
     this.outcome = new Promise((resolve) => {
       this.settle = resolve;
     });
-    this.lastEvent = options.afterEvent;
+    this.lastEvent = options.lastDeliveredEvent;
     const endpoint = parseEndpoint(options.server.address);
     this.req = http.request({
       agent: options.agent,
@@ -220,7 +220,7 @@
       this.endBroken("response to another request", false);
       return;
     }
-    this.listener.answer(metadata);
+    this.listener.onResponse(metadata);
     if (metadata.notExecuted) {
       this.discardBody(res, metadata);
       return;
@@ -297,20 +297,24 @@
   }
 
   private undeliveredOf(events: readonly StreamEvent[]): readonly StreamEvent[] {
-    return this.options.afterEvent === undefined
+    return this.options.lastDeliveredEvent === undefined
       ? events
       : events.filter((event) => this.isUndelivered(event.id));
   }
 
   /** Whether the event was not already delivered from another server. */
   private isUndelivered(id: number | undefined): boolean {
-    return id === undefined || this.options.afterEvent === undefined || id > this.options.afterEvent;
+    return (
+      id === undefined ||
+      this.options.lastDeliveredEvent === undefined ||
+      id > this.options.lastDeliveredEvent
+    );
   }
 
   private recordFirstByte(): void {
     if (this.firstByteMs !== undefined) return;
     this.firstByteMs = performance.now() - this.startedMs;
-    this.listener.firstByte();
+    this.listener.onFirstByte();
   }
 
   /**
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -266,11 +266,11 @@
         body,
         requestId: request.requestId,
         sink: isStream ? this.caller : undefined,
-        afterEvent: this.lastEvent ?? request.lastEventId,
+        lastDeliveredEvent: this.lastEvent ?? request.lastEventId,
         firstByteTimeoutMs: firstByteTimeoutMs({
           route,
           priorRuns: this.possibleRuns,
-          remainingMs: this.deadlines.firstByteDeadlineMs - now,
+          timeLeftMs: this.deadlines.firstByteDeadlineMs - now,
           expectedFirstByteMs: candidate.expectedMs,
           hasAlternative: this.selector.hasAlternative(),
         }),
@@ -278,7 +278,7 @@
         responseTimeoutMs: Math.max(1, responseTimeoutMs),
       },
       {
-        answer: (metadata) => {
+        onResponse: (metadata) => {
           context.pool.setKeepAlive(server.id, metadata.keepAliveS);
           context.notices.recordNotice(
             server,
@@ -288,7 +288,7 @@
             context.watermark.readUpToMs,
           );
         },
-        firstByte: () => {
+        onFirstByte: () => {
           inFlight.started();
           const labels = { kind: route.kind, service: this.service.name };
           context.metrics.firstByte.observe(labels, (performance.now() - this.arrivedMs) / 1000);
--- a/src/gateway/gatewayContext.ts
+++ b/src/gateway/gatewayContext.ts
@@ -124,11 +124,14 @@
   "host" | "zone" | "drainMs" | "log" | "codec"
 > {
   /** Number of nodes that currently serve callers, including this one. */
-  readonly nodes: () => number;
+  readonly nodeCount: () => number;
 }
 
 /** Creates the components in their initial state. */
-export function createGatewayContext({ nodes, ...options }: GatewayContextOptions): GatewayContext {
+export function createGatewayContext({
+  nodeCount: nodes,
+  ...options
+}: GatewayContextOptions): GatewayContext {
   const notices = new ServerNotices();
   return {
     ...options,
--- a/src/gateway/gatewayNode.ts
+++ b/src/gateway/gatewayNode.ts
@@ -102,7 +102,7 @@
       drainMs: settings.drainMs,
       log,
       codec: platform.codec,
-      nodes: () => this.activeNodeCount,
+      nodeCount: () => this.activeNodeCount,
     });
     for (const seed of settings.seeds) this.peerTable.addContact(seed, performance.now());
     const storeHealth = new StoreHealth(log, this.context.metrics);
@@ -111,11 +111,11 @@
       endpoint: settings.peers,
       log,
       table: this.peerTable,
-      readUntilMs: () => this.readUntilMs,
+      readUpToMs: () => this.readUpToMs,
       onDatagram: () => {
         this.context.watermark.recordDatagram();
       },
-      pulse: () => this.heartbeat(),
+      heartbeat: () => this.heartbeat(),
       loads: () => this.context.loads.nextUpdate(performance.now()),
       demand: () => this.callerDemand(),
       active: () => this.activation.active,
@@ -124,9 +124,9 @@
     this.activation = new ActivationTask({
       log,
       table: this.peerTable,
-      readUntilMs: () => this.readUntilMs,
+      readUpToMs: () => this.readUpToMs,
       peers: this.peers,
-      standing: () => this.nodeStatus(),
+      nodeStatus: () => this.nodeStatus(),
       presenceRevision: () => this.context.fleet.presenceRevision,
       quarantinePosition: () => this.quarantine.position,
       readAgeMs: () => this.storeReader.freshestReadAgeMs,
@@ -137,7 +137,7 @@
     this.storeReader = new StoreReaderRole({
       ip: settings.ip,
       table: this.peerTable,
-      readUntilMs: () => this.readUntilMs,
+      readUpToMs: () => this.readUpToMs,
       active: () => this.activation.active,
       holdsLease: () => this.lease.holding,
       readAgeMs: () => this.fleet.readAgeMs,
@@ -151,7 +151,7 @@
       self: settings,
       leaseMs: settings.leaseMs,
       eligible: () => this.activation.active,
-      holderAlive: () => this.peerTable.leaseHolder(this.readUntilMs) !== undefined,
+      holderAlive: () => this.peerTable.leaseHolder(this.readUpToMs) !== undefined,
       storeReachableByPeers: () => this.storeReader.storeReachableByPeers,
       broadcastYield: (message) => {
         this.peers.notify("lease.yield", message);
@@ -185,7 +185,7 @@
       self: settings.peers,
       peers: this.peers,
       ownerOf: (fingerprint) => this.ownerOf(fingerprint),
-      readUntilMs: () => this.readUntilMs,
+      readUpToMs: () => this.readUpToMs,
     });
     this.callers = new CallerServer({
       endpoint: settings.callers,
@@ -194,7 +194,7 @@
       runLocks,
       retryRatio: settings.retryRatio,
       retryBurst: settings.retryBurst,
-      budgetShare: () => this.peerTable.budgetShare(this.activation.active, this.readUntilMs),
+      budgetShare: () => this.peerTable.budgetShare(this.activation.active, this.readUpToMs),
     });
     const shouldReadStore = (): boolean => this.storeReader.shouldRead;
     const callPeer = (peer: PeerVersions, method: string, params: unknown): Promise<unknown> =>
@@ -296,7 +296,7 @@
       log,
     );
     this.context.watermark.iterationEnded.on(({ tookMs, endMs }) => {
-      if (this.context.overloadDetector.recordTurn(tookMs, endMs)) this.reportOverload();
+      if (this.context.overloadDetector.recordIteration(tookMs, endMs)) this.reportOverload();
     });
     platform.engines.noticeReceived.on(({ target: { serverId: id, startedAtMs }, notice }) => {
       this.context.notices.recordPartialNotice({ id, startedAtMs }, notice, performance.now());
@@ -334,7 +334,7 @@
   async stop(): Promise<void> {
     const { settings, log } = this.options;
     // The grace period starts with the signal, which a delayed process handles late.
-    const startedMs = this.readUntilMs;
+    const startedMs = this.readUpToMs;
     const exitDeadlineMs = startedMs + settings.graceMs - exitMarginMs;
     log.info({ event: "stopping", inFlight: this.callers.activeRequests });
     this.stopping = true;
@@ -391,17 +391,17 @@
   /** The node that owns a key of the fleet-wide key space. */
   private ownerOf(key: string): PeerAddress {
     const mayOwn = this.ready && this.activation.active;
-    return this.peerTable.owner(key, this.options.settings.peers, mayOwn, this.readUntilMs);
+    return this.peerTable.owner(key, this.options.settings.peers, mayOwn, this.readUpToMs);
   }
 
   /** Everything that arrived before this time has been read, ms; reference time for the liveness of peers. */
-  private get readUntilMs(): number {
+  private get readUpToMs(): number {
     return this.context.watermark.readUpToMs;
   }
 
   /** Number of active nodes: this one and the live peers. */
   private get activeNodeCount(): number {
-    return this.peerTable.alive(this.readUntilMs).length + 1;
+    return this.peerTable.alive(this.readUpToMs).length + 1;
   }
 
   private get ready(): boolean {
@@ -417,7 +417,7 @@
       ready: () => this.ready,
       directory: () => platform.encodeDirectory(this.addresses(), this.ttlS),
       metrics: () => {
-        this.context.metrics.peers.set(this.peerTable.alive(this.readUntilMs).length);
+        this.context.metrics.peers.set(this.peerTable.alive(this.readUpToMs).length);
         return this.context.metrics.registry;
       },
     });
@@ -429,7 +429,7 @@
 
   /** Addresses of nodes that accept callers. */
   private addresses(): string[] {
-    const peers = this.peerTable.alive(this.readUntilMs).map(({ status }) => status);
+    const peers = this.peerTable.alive(this.readUpToMs).map(({ status }) => status);
     const nodes = peers.filter(({ ready }) => ready);
     if ((this.ready && this.activation.active) || nodes.length === 0) nodes.push(this.nodeStatus());
     return chooseAddresses(nodes, Math.random);
--- a/src/gateway/peerTask.ts
+++ b/src/gateway/peerTask.ts
@@ -45,11 +45,11 @@
   readonly log: Log;
   readonly table: PeerTable;
   /** All input that arrived before this time has been read, ms; a peer's silence is measured up to it, not up to now. */
-  readonly readUntilMs: () => number;
+  readonly readUpToMs: () => number;
   /** Called when a datagram has been read. */
   readonly onDatagram: () => void;
   /** The heartbeat to send now. */
-  readonly pulse: () => Heartbeat;
+  readonly heartbeat: () => Heartbeat;
   /** Changes in this node's requests in flight that peers don't know; undefined if there are none. */
   readonly loads: () => Pick<LoadsMessage, "loads" | "whole"> | undefined;
   /** Callers' demand, sent to the lease holder with the heartbeat. */
@@ -127,13 +127,13 @@
   /** Sends a notification to every live peer; there is no response. */
   notify(method: string, params: unknown): void {
     const bytes = notification(method, params);
-    for (const peer of this.options.table.recipients(this.options.readUntilMs(), false))
+    for (const peer of this.options.table.recipients(this.options.readUpToMs(), false))
       this.send(bytes, peer);
   }
 
   /** Schedules the next load message, and the heartbeats at their longer period. */
   private schedule(): void {
-    const peers = this.options.table.alive(this.options.readUntilMs()).length;
+    const peers = this.options.table.alive(this.options.readUpToMs()).length;
     const periodMs = Math.min(heartbeatPeriodMs, Math.max(loadsPeriodMs, peers * loadsPeriodPerPeerMs));
     this.timer = setTimeout(
       () => {
@@ -148,9 +148,9 @@
 
   private sendHeartbeats(toAll: boolean): void {
     this.lastHeartbeatMs = performance.now();
-    const { table, pulse, demand, readUntilMs } = this.options;
-    const readMs = readUntilMs();
-    const heartbeat = pulse();
+    const { table, heartbeat: createHeartbeat, demand, readUpToMs } = this.options;
+    const readMs = readUpToMs();
+    const heartbeat = createHeartbeat();
     const bytes = notification("pulse", heartbeat);
     const holder = table.leaseHolder(readMs);
     for (const peer of table.recipients(readMs, toAll)) {
@@ -160,9 +160,9 @@
   }
 
   private sendHeartbeatToLeaseHolder(): void {
-    const holder = this.options.table.leaseHolder(this.options.readUntilMs());
+    const holder = this.options.table.leaseHolder(this.options.readUpToMs());
     if (holder !== undefined)
-      this.notifyOne("pulse", { ...this.options.pulse(), asked: this.options.demand() }, holder);
+      this.notifyOne("pulse", { ...this.options.heartbeat(), asked: this.options.demand() }, holder);
   }
 
   /** Sends changes in this node's requests in flight. */
--- a/src/gateway/quarantineCheck.ts
+++ b/src/gateway/quarantineCheck.ts
@@ -35,7 +35,7 @@
   get timeLeftMs(): number {
     const { quarantine } = this.options.context;
     // Avoids hashing the body while nothing is quarantined.
-    return quarantine.entries.size === 0 ? 0 : quarantine.remainingMs(this.fingerprint, performance.now());
+    return quarantine.entries.size === 0 ? 0 : quarantine.timeLeftMs(this.fingerprint, performance.now());
   }
 
   /** Whether the request may run now: duplicates of a suspected request run one at a time over all nodes. */
--- a/src/gateway/quarantineGossip.ts
+++ b/src/gateway/quarantineGossip.ts
@@ -62,10 +62,10 @@
   private sendUpdate(update: QuarantineUpdate | undefined, delaysMs: readonly number[]): void {
     if (update === undefined) return;
     this.options.peers.notify("quarantine", update);
-    const [nextMs, ...remainingMs] = delaysMs;
+    const [nextMs, ...remainingDelaysMs] = delaysMs;
     if (nextMs === undefined) return;
     this.schedule(nextMs, () => {
-      this.sendUpdate(this.options.quarantine.stillValid(update), remainingMs);
+      this.sendUpdate(this.options.quarantine.stillValid(update), remainingDelaysMs);
     });
   }
 
--- a/src/gateway/runLockTask.ts
+++ b/src/gateway/runLockTask.ts
@@ -24,7 +24,7 @@
   /** The node that grants the lock of the request. */
   readonly ownerOf: (fingerprint: string) => PeerAddress;
   /** All input that arrived before this time has been read, ms; a later renewal may still be unread. */
-  readonly readUntilMs: () => number;
+  readonly readUpToMs: () => number;
 }
 
 /** A lock held by this node; dispose to release it. */
@@ -95,7 +95,7 @@
   private async requestLock(fingerprint: string): Promise<boolean> {
     const { self, peers, ownerOf } = this.options;
     const now = performance.now();
-    this.locks.expire(this.options.readUntilMs());
+    this.locks.expire(this.options.readUpToMs());
     const owner = ownerOf(fingerprint);
     if (owner.ip === self.ip) return this.locks.acquire(fingerprint, self.ip, now);
     try {
--- a/src/gateway/sendRecord.ts
+++ b/src/gateway/sendRecord.ts
@@ -28,7 +28,7 @@
     const { context, metadata, service } = this.options;
     const { loads, modelsRunning, adaptersRunning } = context;
     const { model, adapter } = metadata;
-    const inFlight = loads.begin(candidate.server.id, candidate.prefillMs);
+    const inFlight = loads.start(candidate.server.id, candidate.prefillMs);
     if (context.notices.limitPerS(candidate.server) !== undefined)
       context.metrics.limitedSends.inc({ service: service.name });
     if (model === undefined) return inFlight;
--- a/src/gateway/serverSelector.ts
+++ b/src/gateway/serverSelector.ts
@@ -201,7 +201,7 @@
       expectedFirstByteMs: candidate.queueMs + candidate.prefillMs,
       requests: candidate.requests,
       slots: candidate.server.slots,
-      remainingMs: this.timeLeftMs,
+      timeLeftMs: this.timeLeftMs,
       callerTimeoutMs: deadlines.firstByteDeadlineMs - arrivedMs,
       targetMs: route.targetMs,
       priority: route.priority,
--- a/src/gateway/storeReaderRole.ts
+++ b/src/gateway/storeReaderRole.ts
@@ -13,7 +13,7 @@
   readonly ip: string;
   readonly table: PeerTable;
   /** All input that arrived before this time has been read, ms. */
-  readonly readUntilMs: () => number;
+  readonly readUpToMs: () => number;
   readonly active: () => boolean;
   readonly holdsLease: () => boolean;
   /** Time since this node's last successful read, ms. */
@@ -58,7 +58,7 @@
   /** Live peers, with the time since each read the store. */
   private readers(): StoreReader[] {
     const now = performance.now();
-    return this.options.table.alive(this.options.readUntilMs()).map(({ status, lastHeardMs }) => {
+    return this.options.table.alive(this.options.readUpToMs()).map(({ status, lastHeardMs }) => {
       const readAgeMs = (status.readAgeMs ?? Number.POSITIVE_INFINITY) + (now - lastHeardMs);
       return { ip: status.ip, isLeaseHolder: status.token !== undefined, readAgeMs };
     });
--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -38,7 +38,7 @@
   /** The same including the prefill of the request itself. */
   readonly expectedFirstByteMs: number;
   /** Time until the caller disconnects without a first byte, ms, and that timeout in all. */
-  readonly remainingMs: number;
+  readonly timeLeftMs: number;
   readonly callerTimeoutMs: number;
   readonly targetMs: number;
   /** 0 is the most urgent. */
@@ -56,14 +56,14 @@
 
 /** Decides what to do with the request now. */
 export function admit(view: AdmissionView): Admission {
-  const { queueMs, expectedFirstByteMs, remainingMs } = view;
-  if (willMissDeadline(expectedFirstByteMs, remainingMs))
-    return { kind: "refuse", retryAfterMs: expectedFirstByteMs - remainingMs };
+  const { queueMs, expectedFirstByteMs, timeLeftMs } = view;
+  if (willMissDeadline(expectedFirstByteMs, timeLeftMs))
+    return { kind: "refuse", retryAfterMs: expectedFirstByteMs - timeLeftMs };
   const limitMs =
-    Math.max(targetRatio * view.targetMs, remainingRatio * remainingMs) /
+    Math.max(targetRatio * view.targetMs, remainingRatio * timeLeftMs) /
     (1 + priorityStepRatio * Math.max(0, view.priority));
   if (queueMs <= limitMs && hasSlot(view)) return { kind: "send" };
-  if (view.callerTimeoutMs - remainingMs < maxWaitRatio * view.callerTimeoutMs) return { kind: "wait" };
+  if (view.callerTimeoutMs - timeLeftMs < maxWaitRatio * view.callerTimeoutMs) return { kind: "wait" };
   return { kind: "refuse", retryAfterMs: queueMs };
 }
 
@@ -73,9 +73,9 @@
   requests,
   slots,
   callerTimeoutMs,
-  remainingMs,
+  timeLeftMs,
   targetMs,
 }: AdmissionView): boolean {
-  const lateReserve = callerTimeoutMs - remainingMs > targetMs ? lateReserveRatio : 0;
+  const lateReserve = callerTimeoutMs - timeLeftMs > targetMs ? lateReserveRatio : 0;
   return requests < slots * (1 + overbookRatio - priorityReserveRatio * Math.max(0, priority) - lateReserve);
 }
--- a/src/serving/loadTracker.ts
+++ b/src/serving/loadTracker.ts
@@ -51,7 +51,7 @@
   private lastFullReportMs = Number.NEGATIVE_INFINITY;
 
   /** Counts a request as in flight at the server until its handle is done. */
-  begin(serverId: string, pendingMs: number): InFlightRequest {
+  start(serverId: string, pendingMs: number): InFlightRequest {
     const load = this.own.get(serverId) ?? { pendingMs: 0, requests: 0 };
     this.own.set(serverId, load);
     load.pendingMs += pendingMs;
--- a/src/serving/membership/activeSet.ts
+++ b/src/serving/membership/activeSet.ts
@@ -52,7 +52,7 @@
   /** Nodes that may exist, active or not, alive or dead; may include this one. */
   readonly knownNodes: readonly Candidate[];
   /** Number of nodes by which a zone may grow in one step. */
-  readonly mostPerStep?: number | undefined;
+  readonly maxPerStep?: number | undefined;
 }
 
 /**
@@ -64,7 +64,7 @@
   self,
   active,
   knownNodes,
-  mostPerStep = defaultMaxPerStep,
+  maxPerStep = defaultMaxPerStep,
 }: MembershipView): number | undefined {
   if (isSmallFleet(knownNodes)) return 0;
   const inZone = active.filter((node) => node.zone === self.zone);
@@ -73,7 +73,7 @@
   const known = new Set([self, ...active].map((node) => node.ip));
   const others = knownNodes.filter((node) => node.zone === self.zone && !known.has(node.ip));
   const waiting = [...others, self].sort((a, b) => (precedes(a, b) ? -1 : 1));
-  return Math.floor(waiting.indexOf(self) / nodesToActivate(inZone, waiting, { minActive, mostPerStep }));
+  return Math.floor(waiting.indexOf(self) / nodesToActivate(inZone, waiting, { minActive, maxPerStep }));
 }
 
 /**
@@ -84,13 +84,13 @@
 function nodesToActivate(
   inZone: readonly ActiveNode[],
   waiting: readonly Candidate[],
-  { minActive, mostPerStep }: { readonly minActive: number; readonly mostPerStep: number },
+  { minActive, maxPerStep }: { readonly minActive: number; readonly maxPerStep: number },
 ): number {
   const requiredCapacity = isOverutilized(inZone) ? usedCapacity(inZone) / targetUtilizationRatio : 0;
   let reached = totalCapacity(inZone);
   let count = 0;
   for (const node of waiting) {
-    if (inZone.length + count >= minActive && (reached >= requiredCapacity || count >= mostPerStep)) break;
+    if (inZone.length + count >= minActive && (reached >= requiredCapacity || count >= maxPerStep)) break;
     reached += node.strength;
     count += 1;
   }
--- a/src/serving/overload.ts
+++ b/src/serving/overload.ts
@@ -37,7 +37,7 @@
   }
 
   /** Records an iteration that ended at `nowMs`; returns whether the state changed. */
-  recordTurn(tookMs: number, nowMs: number): boolean {
+  recordIteration(tookMs: number, nowMs: number): boolean {
     const stepMs = Math.min(maxStepMs, nowMs - (this.lastMs ?? nowMs));
     this.lastMs = nowMs;
     const long = tookMs > longIterationMs ? 1 : 0;
--- a/src/serving/quarantine/quarantine.ts
+++ b/src/serving/quarantine/quarantine.ts
@@ -80,8 +80,8 @@
   }
 
   /** Time until the request may be sent, ms; 0 if it may be sent now. */
-  remainingMs(fingerprint: string, nowMs: number): number {
-    return this.entries.remainingMs(fingerprint, nowMs);
+  timeLeftMs(fingerprint: string, nowMs: number): number {
+    return this.entries.timeLeftMs(fingerprint, nowMs);
   }
 
   /** The connection to the server's incarnation was lost while it ran the request. */
@@ -166,13 +166,13 @@
       this.changed.fire({ fingerprint, kind: "forgotten", own: true, row });
       return;
     }
-    const before = this.remainingMs(fingerprint, nowMs) > 0;
+    const before = this.timeLeftMs(fingerprint, nowMs) > 0;
     for (const incarnation of entry.ended ?? []) this.suspects.add(fingerprint, incarnation, nowMs);
     this.entries.merge(fingerprint, entry, row, nowMs);
     // The crashes seen here and those named in another node's watch entry may add up to the maximum.
-    if (this.remainingMs(fingerprint, nowMs) === 0 && this.suspects.crashCount(fingerprint) >= maxCrashes)
+    if (this.timeLeftMs(fingerprint, nowMs) === 0 && this.suspects.crashCount(fingerprint) >= maxCrashes)
       this.quarantine(fingerprint, true, nowMs);
-    if (!before && this.remainingMs(fingerprint, nowMs) > 0)
+    if (!before && this.timeLeftMs(fingerprint, nowMs) > 0)
       this.changed.fire({ fingerprint, kind: "held", own: false, row: undefined });
   }
 
@@ -189,7 +189,7 @@
 
   private countCrash(fingerprint: string, incarnation: string, own: boolean, nowMs: number): void {
     // Servers that were already running the request when it was quarantined may still crash; that is no new evidence.
-    if (this.remainingMs(fingerprint, nowMs) > 0) return;
+    if (this.timeLeftMs(fingerprint, nowMs) > 0) return;
     const isNewCrash = !this.suspects.isSuspectedOf(fingerprint, incarnation);
     const crashes = this.suspects.add(fingerprint, incarnation, nowMs);
     if (!isNewCrash) return;
--- a/src/serving/quarantine/quarantineList.ts
+++ b/src/serving/quarantine/quarantineList.ts
@@ -67,7 +67,7 @@
   }
 
   /** Time until the request is released, ms; 0 if it may be sent now. */
-  remainingMs(fingerprint: string, nowMs: number): number {
+  timeLeftMs(fingerprint: string, nowMs: number): number {
     return Math.max(0, (this.entries.get(fingerprint)?.untilMs ?? 0) - nowMs);
   }
 
--- a/src/serving/sendRules.ts
+++ b/src/serving/sendRules.ts
@@ -35,7 +35,7 @@
   /** Servers that may have run the request before this send. */
   readonly priorRuns: number;
   /** Time until the caller disconnects without a first byte, ms. */
-  readonly remainingMs: number;
+  readonly timeLeftMs: number;
   /** Expected time until the first byte, ms. */
   readonly expectedFirstByteMs: number;
   /** Whether another server could be tried instead. */
@@ -46,16 +46,16 @@
 export function firstByteTimeoutMs({
   route,
   priorRuns,
-  remainingMs,
+  timeLeftMs,
   expectedFirstByteMs,
   hasAlternative,
 }: SendConditions): number {
   // Without an alternative an unresponsive server isn't given up either, as its work would be lost for nothing.
-  if (!hasAlternative || !mayRetry(route, priorRuns)) return remainingMs;
+  if (!hasAlternative || !mayRetry(route, priorRuns)) return timeLeftMs;
   const targets = route.kind === "stream" ? unresponsiveStreamTargets : unresponsiveTargets;
   // A busy server isn't unresponsive: its work on the request would be lost by trying another one.
   const busyMs = 2 * expectedFirstByteMs + route.targetMs;
-  return Math.min(remainingMs, Math.max(minUnresponsiveMs, targets * route.targetMs, busyMs));
+  return Math.min(timeLeftMs, Math.max(minUnresponsiveMs, targets * route.targetMs, busyMs));
 }
 
 /** Timeout between two events of a stream, ms. */
@@ -67,6 +67,6 @@
  * Whether it is useless to send the request. One that no engine can start before its caller disconnects would only
  * take engine time from requests that can be served.
  */
-export function willMissDeadline(expectedFirstByteMs: number, remainingMs: number): boolean {
-  return expectedFirstByteMs >= remainingMs * missedDeadlineFactor;
+export function willMissDeadline(expectedFirstByteMs: number, timeLeftMs: number): boolean {
+  return expectedFirstByteMs >= timeLeftMs * missedDeadlineFactor;
 }
