--- a/src/bench/caller.ts
+++ b/src/bench/caller.ts
@@ -3,13 +3,13 @@
 import type { Arrival } from "./trace.ts";
 
 /** Characters of an answer kept: enough for its end, or for a refusal. */
-const keptChars = 400;
+const tailChars = 400;
 
 /** How one request went. */
 export interface Outcome {
   readonly arrival: Arrival;
   /** Answered whole. */
-  readonly whole: boolean;
+  readonly complete: boolean;
   /** HTTP status, or 0 if the connection broke. */
   readonly status: number;
   /** Error kind of a refusal, or "broken" if the connection was; undefined for an answer. */
@@ -37,10 +37,10 @@
       let last = 0;
       const gapsMs: number[] = [];
       const end = (): void => {
-        const whole = status === 200 && tail.endsWith("data: [DONE]\n\n");
+        const complete = status === 200 && tail.endsWith("data: [DONE]\n\n");
         const totalMs = performance.now() - started;
         const refusal = status === 200 ? undefined : (/"kind":"([a-z-]+)"/.exec(tail)?.[1] ?? "broken");
-        resolve({ arrival, whole, status, refusal, totalMs, firstMs, gapsMs });
+        resolve({ arrival, complete, status, refusal, totalMs, firstMs, gapsMs });
       };
       const request = http.request(
         new URL("/v1/completions", address),
@@ -59,7 +59,7 @@
           response.setEncoding("utf8");
           response.on("data", (text: string) => {
             const now = performance.now();
-            tail = (tail + text).slice(-keptChars);
+            tail = (tail + text).slice(-tailChars);
             if (firstMs === undefined) firstMs = now - started;
             else gapsMs.push(now - last);
             last = now;
--- a/src/bench/loadBench.ts
+++ b/src/bench/loadBench.ts
@@ -48,13 +48,13 @@
 export async function runLoad(options: LoadRunOptions): Promise<LoadRun> {
   const store = new DisposableStore();
   try {
-    return await play(options, store);
+    return await runTrace(options, store);
   } finally {
     await store.dispose();
   }
 }
 
-async function play(options: LoadRunOptions, store: DisposableStore): Promise<LoadRun> {
+async function runTrace(options: LoadRunOptions, store: DisposableStore): Promise<LoadRun> {
   const scenario = scenarios[options.scenario];
   const trace = traceOf(scenario, options.warmupMs + options.durationMs, options.seed);
   const { loadsPerSecond, loadsAtOnce: concurrent, mbPerSecond } = scenario;
@@ -85,12 +85,12 @@
     entries.push(store.add(entry));
   }
   await sleep(1000);
-  const warm = callAll(trace, entries, store);
+  const allOutcomes = sendAll(trace, entries, store);
   await sleep(options.warmupMs);
   const before = await countersOf(entries);
   const cpu = process.cpuUsage();
   const started = performance.now();
-  const outcomes = (await warm).filter((outcome) => outcome.arrival.at >= options.warmupMs);
+  const outcomes = (await allOutcomes).filter((outcome) => outcome.arrival.at >= options.warmupMs);
   const seconds = (performance.now() - started) / 1000;
   const used = process.cpuUsage(cpu);
   const after = await countersOf(entries);
@@ -162,7 +162,7 @@
   return { name, customer: name, priority, share, moveWeight, models, services: [] };
 }
 
-async function callAll(
+async function sendAll(
   trace: Trace,
   entries: readonly EntryNode[],
   store: DisposableStore,
--- a/src/bench/loadReport.ts
+++ b/src/bench/loadReport.ts
@@ -40,7 +40,7 @@
 export function summaryOf(run: LoadRun): LoadSummary {
   const { outcomes, options } = run;
   const inTime = (o: LoadRun["outcomes"][number]): boolean =>
-    o.whole && o.totalMs <= o.arrival.kind.deadlineMs;
+    o.complete && o.totalMs <= o.arrival.kind.deadlineMs;
   const met = outcomes.filter(inTime).length;
   const refused = outcomes.filter((o) => o.status !== 200);
   const attainment = met / Math.max(1, outcomes.length);
@@ -67,7 +67,7 @@
     unloads: run.unloads,
     moves: run.loads + run.unloads,
     firstTokenMs: percentiles(
-      outcomes.flatMap((o) => (o.whole && o.firstMs !== undefined ? [o.firstMs] : [])),
+      outcomes.flatMap((o) => (o.complete && o.firstMs !== undefined ? [o.firstMs] : [])),
     ),
     betweenTokensMs: percentiles(outcomes.flatMap((o) => o.gapsMs)),
     refusalMs: percentiles(refused.map((o) => o.totalMs)),
--- a/src/bench/scenarios.ts
+++ b/src/bench/scenarios.ts
@@ -4,7 +4,7 @@
 export interface RequestKind {
   readonly name: string;
   /** Part of the customer's requests that are of this kind. */
-  readonly part: number;
+  readonly fraction: number;
   readonly tokens: number;
   readonly deadlineMs: number;
   /** Distinct prompt prefixes; requests with the same one can share a cached prefix. */
@@ -46,13 +46,13 @@
 }
 
 const andesKinds: readonly RequestKind[] = [
-  { name: "syllabus-plan", part: 0.4, tokens: 24, deadlineMs: 2500, prefixes: 4 },
-  { name: "counter-ask", part: 0.6, tokens: 12, deadlineMs: 1500, prefixes: 2 },
+  { name: "syllabus-plan", fraction: 0.4, tokens: 24, deadlineMs: 2500, prefixes: 4 },
+  { name: "counter-ask", fraction: 0.6, tokens: 12, deadlineMs: 1500, prefixes: 2 },
 ];
 const ovasekerKinds: readonly RequestKind[] = [
-  { name: "dispute-draft", part: 0.4, tokens: 24, deadlineMs: 2000, prefixes: 4 },
-  { name: "coop-summary", part: 0.1, tokens: 40, deadlineMs: 4000, prefixes: 8 },
-  { name: "clerk-assist", part: 0.5, tokens: 12, deadlineMs: 1500, prefixes: 2 },
+  { name: "dispute-draft", fraction: 0.4, tokens: 24, deadlineMs: 2000, prefixes: 4 },
+  { name: "coop-summary", fraction: 0.1, tokens: 40, deadlineMs: 4000, prefixes: 8 },
+  { name: "clerk-assist", fraction: 0.5, tokens: 12, deadlineMs: 1500, prefixes: 2 },
 ];
 
 const engineShape = { slots: 8, tokenMs: 20, prefillTicks: 8 };
--- a/src/engine/batcher.ts
+++ b/src/engine/batcher.ts
@@ -1,6 +1,6 @@
 /**
- * Continuous batching of the engine stand-in: every tick, up to `maxBatch` streams each get one token,
- * highest priority first; a prompt whose prefix is cached skips most of its prefill.
+ * Continuous batching of the engine stand-in: in every tick, up to `maxBatch` streams get one token each,
+ * highest priority first. A prompt whose prefix is cached skips most of its prefill.
  */
 import type { FinishReason } from "../common/openai.ts";
 import type { Priority } from "../common/template.ts";
@@ -12,14 +12,14 @@
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Tokens the caller already has (a resumed stream); the first token made is the one after them. */
+  /** Tokens that the caller of a resumed stream already has; generation continues after them. */
   readonly resume: number;
-  /** Called with each token as it is made. */
+  /** Called with each generated token. */
   readonly onToken: (token: string, index: number) => void;
-  /** Called once when done or cancelled. */
+  /** Called once when the stream is complete or cancelled. */
   readonly onEnd: (reason: FinishReason) => void;
   /** Called about once a second while the stream waits for its first token. */
-  readonly onWait: () => void;
+  readonly onWaiting: () => void;
   produced: number;
   prefillTicks: number;
   waitedTicks: number;
@@ -37,32 +37,32 @@
 const priorityRank: Readonly<Record<Priority, number>> = { high: 0, normal: 1, low: 2 };
 const prefixChars = 64;
 
-/** Runs streams in ticks; owns its timer and its queue. */
+/** Runs streams in ticks; owns the timer and the queue. */
 export class Batcher {
   private readonly options: typeof defaults;
   private readonly streams: Stream[] = [];
-  private readonly prefixes = new Map<string, true>();
+  private readonly prefixCache = new Map<string, true>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(options: BatcherOptions = {}) {
     this.options = { ...defaults, ...options };
   }
 
-  /** Streams admitted and not finished. */
+  /** Streams admitted and not yet finished. */
   get inFlight(): number {
     return this.streams.length;
   }
 
-  /** Streams that run at once. */
+  /** Maximum number of concurrently running streams. */
   get maxBatch(): number {
     return this.options.maxBatch;
   }
 
-  /** Admits a stream; it starts in the next tick that has room. */
+  /** Admits a stream; it starts in the next tick with a free batch slot. */
   add(stream: Omit<Stream, "produced" | "prefillTicks" | "waitedTicks">): Stream {
     const prefix = `${stream.model}\n${stream.prompt.slice(0, prefixChars)}`;
-    const cached = this.prefixes.has(prefix);
-    this.remember(prefix);
+    const cached = this.prefixCache.has(prefix);
+    this.cachePrefix(prefix);
     const admitted: Stream = {
       ...stream,
       produced: stream.resume,
@@ -76,12 +76,12 @@
     return admitted;
   }
 
-  /** Ends a stream whose caller has gone, running or queued, and frees its place. */
+  /** Cancels a running or queued stream whose caller has disconnected, and frees its batch slot. */
   cancel(stream: Stream): void {
     if (this.streams.includes(stream)) this.finish(stream, "cancelled");
   }
 
-  /** Stops every stream and the timer. */
+  /** Cancels all streams and stops the timer. */
   dispose(): void {
     for (const stream of this.streams.splice(0)) stream.onEnd("cancelled");
     clearInterval(this.timer);
@@ -91,7 +91,7 @@
   private tick(): void {
     const order = [...this.streams].sort((a, b) => priorityRank[a.priority] - priorityRank[b.priority]);
     for (const stream of order.slice(0, this.options.maxBatch)) this.step(stream);
-    for (const stream of order) this.remind(stream);
+    for (const stream of order) this.notifyIfWaiting(stream);
     if (this.streams.length === 0) {
       clearInterval(this.timer);
       this.timer = undefined;
@@ -110,11 +110,11 @@
     if (stream.produced >= stream.maxTokens) this.finish(stream, "length");
   }
 
-  /** Lets the caller of a stream without a token yet know, about once a second, that it is not lost. */
-  private remind(stream: Stream): void {
+  /** Calls `onWaiting` about once a second for a stream without a first token, so that its connection doesn't time out. */
+  private notifyIfWaiting(stream: Stream): void {
     if (stream.produced > stream.resume) return;
     stream.waitedTicks += 1;
-    if (stream.waitedTicks % Math.ceil(1000 / this.options.tokenMs) === 0) stream.onWait();
+    if (stream.waitedTicks % Math.ceil(1000 / this.options.tokenMs) === 0) stream.onWaiting();
   }
 
   private finish(stream: Stream, reason: FinishReason): void {
@@ -123,17 +123,17 @@
     stream.onEnd(reason);
   }
 
-  private remember(prefix: string): void {
-    this.prefixes.delete(prefix);
-    this.prefixes.set(prefix, true);
-    if (this.prefixes.size > this.options.prefixCacheEntries) {
-      const oldest = this.prefixes.keys().next().value;
-      if (oldest !== undefined) this.prefixes.delete(oldest);
+  private cachePrefix(prefix: string): void {
+    this.prefixCache.delete(prefix);
+    this.prefixCache.set(prefix, true);
+    if (this.prefixCache.size > this.options.prefixCacheEntries) {
+      const oldest = this.prefixCache.keys().next().value;
+      if (oldest !== undefined) this.prefixCache.delete(oldest);
     }
   }
 }
 
-/** The stand-in's output: words of the prompt in turn, so a caller can check the answer is its own. */
+/** Output of the stand-in: the prompt's words in a cycle, so that a caller can verify that the response is its own. */
 function tokenFor(stream: Stream, index: number): string {
   const words = stream.prompt.split(/\s+/).filter((word) => word.length > 0);
   const word = words.length === 0 ? "ok" : (words[index % words.length] ?? "ok");
--- a/src/engine/reply.ts
+++ b/src/engine/completionWriter.ts
@@ -1,4 +1,4 @@
-/** One completion's answer from the engine stand-in, in the OpenAI shapes (SSE chunks or one JSON body). */
+/** Writes the engine stand-in's response to one completion, in the OpenAI formats (SSE chunks or one JSON body). */
 import type * as http from "node:http";
 import { sendJson } from "../common/http.ts";
 import {
@@ -9,8 +9,8 @@
   type FinishReason,
 } from "../common/openai.ts";
 
-/** Writes one request's answer, streamed as SSE or whole as JSON. */
-export class Reply {
+/** Writes one completion's response, streamed as SSE or as one JSON body. */
+export class CompletionWriter {
   private text = "";
 
   constructor(
@@ -23,18 +23,18 @@
     res.flushHeaders();
   }
 
-  /** Adds one generated token (sent at once when streaming). */
-  token(token: string): void {
+  /** Adds one generated token, sent at once when streaming. */
+  writeToken(token: string): void {
     this.text += token;
     if (this.streaming) this.res.write(chunkEvent(this.identity, token));
   }
 
-  /** Tells a streaming caller that its request still waits for its turn (an SSE comment). */
-  waiting(): void {
+  /** Sends a streaming caller an SSE comment while its request is queued. */
+  writeKeepAlive(): void {
     if (this.streaming && !this.res.destroyed) this.res.write(": waiting\n\n");
   }
 
-  /** Finishes the answer: the last chunk and `[DONE]`, or the whole JSON body. */
+  /** Ends the response: the last chunk and `[DONE]`, or the complete JSON body. */
   end(reason: FinishReason): void {
     if (this.res.destroyed) return;
     if (this.streaming) this.res.end(chunkEvent(this.identity, undefined, reason) + doneEvent);
--- a/src/engine/engineServer.ts
+++ b/src/engine/engineServer.ts
@@ -1,6 +1,6 @@
 /**
- * The model-engine stand-in process: OpenAI-style completions with simulated token timing, and a JSON-RPC
- * control endpoint for orders (load, unload, role) carrying fencing numbers. No real weights.
+ * The model engine stand-in process: OpenAI-compatible completions with simulated token timing, and a JSON-RPC
+ * control endpoint for orders (load, unload, role) with fencing numbers. It has no real weights.
  */
 import * as http from "node:http";
 import * as crypto from "node:crypto";
@@ -18,8 +18,8 @@
 import { Priority } from "../common/template.ts";
 import { Batcher, type BatcherOptions } from "./batcher.ts";
 import { Memory, type FencingPolicy } from "./memory.ts";
-import { OrderFaults, Orders } from "./orders.ts";
-import { Reply } from "./reply.ts";
+import { OrderFaults, OrderExecutor } from "./orderExecutor.ts";
+import { CompletionWriter } from "./completionWriter.ts";
 
 /** Options of an `EngineServer`. */
 export interface EngineServerOptions {
@@ -29,11 +29,11 @@
   readonly port?: number;
   readonly capacityMb?: number;
   readonly fencingPolicy?: FencingPolicy;
-  /** Platform URL for weight fetches; without it loads take `loadMs` and skip the weight store. */
+  /** Platform URL for fetching weights; without it, loads take `loadMs` and skip the weight store. */
   readonly platformUrl?: string;
-  /** Extra time a load takes after the weights arrive, in ms. */
+  /** Time a load takes after the weights have been fetched, in ms. */
   readonly loadMs?: number;
-  /** How stale the reported load is, in ms. */
+  /** Maximum age of the reported load, in ms. */
   readonly reportLagMs?: number;
   readonly batcher?: BatcherOptions;
 }
@@ -50,7 +50,7 @@
   reportLagMs: 500,
 };
 
-/** Longest transfer of one model's weights, in ms. */
+/** Timeout of one model's weight transfer, in ms. */
 const weightsTimeoutMs = 60_000;
 const RoleParams = Schema.Struct({ role: Schema.String, fencing: Schema.Number });
 
@@ -63,7 +63,7 @@
   private readonly batcher: Batcher;
   private readonly store = new DisposableStore();
   private readonly log;
-  private readonly orders: Orders;
+  private readonly orders: OrderExecutor;
   private role = "mixed";
   private drainedAt: number | undefined;
   private received = 0;
@@ -78,7 +78,7 @@
     this.log = createLog(`engine:${this.options.id}`);
     const { platformUrl, loadMs } = this.options;
     this.orders = this.store.add(
-      new Orders({
+      new OrderExecutor({
         memory: this.memory,
         log: this.log,
         platform:
@@ -121,8 +121,8 @@
   }
 
   /**
-   * The notice to leave (SIGTERM or `engine.drain`): reported in status at once, new completions are
-   * refused with `draining`, streams in flight run to their end.
+   * Starts draining (SIGTERM or `engine.drain`): the status reports it at once, new completions are rejected
+   * with `draining`, and streams in flight run to completion.
    */
   drain(): protocol.EngineStatus {
     this.drainedAt ??= Date.now();
@@ -130,7 +130,7 @@
     return this.status();
   }
 
-  /** Resolves once no stream is in flight (or after `timeoutMs`). */
+  /** Resolves when no stream is in flight, or after `timeoutMs`. */
   async drained(timeoutMs: number): Promise<void> {
     const until = Date.now() + timeoutMs;
     while (this.batcher.inFlight > 0 && Date.now() < until) await sleep(20);
@@ -185,7 +185,7 @@
     this.received += 1;
     if (this.drainedAt !== undefined) {
       this.receivedAfterDrain += 1;
-      throw new Failure("draining", `${this.options.id} is leaving; send new work elsewhere`);
+      throw new Failure("draining", `${this.options.id} is shutting down; send requests to another engine`);
     }
     if (this.memory.ready(request.model) === undefined) {
       throw new Failure("unknown-model", `${request.model} is not loaded on ${this.options.id}`);
@@ -195,8 +195,12 @@
       o._tag === "Some" ? o.value : "normal",
     );
     const chat = req.url === "/v1/chat/completions";
-    const reply = new Reply(res, { id: requestId, model: request.model, chat }, request.stream === true);
-    this.memory.hold(request.model);
+    const reply = new CompletionWriter(
+      res,
+      { id: requestId, model: request.model, chat },
+      request.stream === true,
+    );
+    this.memory.acquireUse(request.model);
     const stream = this.batcher.add({
       requestId,
       priority,
@@ -205,17 +209,17 @@
       resume: request.resume ?? 0,
       maxTokens: request.max_tokens ?? 16,
       onToken: (token) => {
-        reply.token(token);
+        reply.writeToken(token);
       },
-      onWait: () => {
-        reply.waiting();
+      onWaiting: () => {
+        reply.writeKeepAlive();
       },
       onEnd: (reason) => {
-        this.memory.drop(request.model);
+        this.memory.releaseUse(request.model);
         reply.end(reason);
       },
     });
-    // A caller that hangs up cancels its stream, freeing its batch slot.
+    // A disconnected caller cancels its stream, which frees the batch slot.
     res.on("close", () => {
       this.batcher.cancel(stream);
     });
--- a/src/engine/memory.ts
+++ b/src/engine/memory.ts
@@ -1,26 +1,26 @@
 /**
- * Accelerator memory of an engine stand-in: residents and the fencing number of the newest order.
- * Space is reserved before a load starts and freed only once nothing uses it any more: not while the
- * weights still arrive, and not while a stream still runs on the model.
+ * Accelerator memory of an engine stand-in: residents and the highest fencing number of an order. Memory is
+ * reserved before a load starts and freed only when nothing uses it any more: not while the weights are being
+ * transferred, and not while a stream runs on the model.
  */
 import { Failure } from "../common/errors.ts";
 import type * as protocol from "../common/engineProtocol.ts";
 
-/** What the engine does with an order whose fencing number is older than one it has seen. */
+/** How the engine handles an order with a fencing number lower than the highest it has seen. */
 export type FencingPolicy = "refuse" | "ignore";
 
-/** A resident and the number of holders (its load in progress, its running streams) that keep its space. */
-interface Slot {
+/** A resident and its use count (load in progress, running streams); its memory is kept while that isn't 0. */
+interface Residency {
   resident: protocol.Resident;
-  holders: number;
+  useCount: number;
 }
 
-/** Residents of one accelerator and the orders' fencing numbers. */
+/** Residents of one accelerator and the highest fencing number of their orders. */
 export class Memory {
-  private readonly slots = new Map<string, Slot>();
+  private readonly residencies = new Map<string, Residency>();
   /** Highest fencing number seen on an order. */
   fencing = 0;
-  /** Rises with every change of the residents. */
+  /** Incremented with every change of the residents. */
   revision = 0;
 
   constructor(
@@ -28,37 +28,37 @@
     private readonly policy: FencingPolicy,
   ) {}
 
-  /** Memory committed to residents (model plus adapters), loading and unloading ones included, in MB. */
+  /** Memory reserved by residents (model plus adapters), loading and unloading ones included, in MB. */
   get usedMb(): number {
     return this.list().reduce((used, resident) => used + resident.sizeMb, 0);
   }
 
   /** All residents. */
   list(): protocol.Resident[] {
-    return [...this.slots.values()].map((slot) => slot.resident);
+    return [...this.residencies.values()].map((residency) => residency.resident);
   }
 
   /** The ready resident serving `model`, if any. */
   ready(model: string): protocol.Resident | undefined {
-    const resident = this.slots.get(model)?.resident;
+    const resident = this.residencies.get(model)?.resident;
     return resident?.state === "ready" ? resident : undefined;
   }
 
   /**
-   * Reserves space for a load and holds it for the load; throws `stale-fencing` (policy `refuse`),
-   * `conflict` (another version is there, or the model is on its way out: unload first, then order
-   * again) or `over-capacity`. Returns false when the same model and version is already there.
+   * Reserves memory for a load and marks it in use by the load. Throws `stale-fencing` (policy `refuse`),
+   * `conflict` (another version is resident, or the model is unloading: the load has to be ordered again after
+   * the unload) or `over-capacity`. Returns false if the same model and version is already resident.
    */
   reserve(order: protocol.LoadOrder): boolean {
-    this.fence(order.fencing);
-    const existing = this.slots.get(order.model)?.resident;
+    this.checkFencing(order.fencing);
+    const existing = this.residencies.get(order.model)?.resident;
     if (existing?.version === order.version && existing.state !== "unloading") return false;
     if (existing !== undefined) {
       throw new Failure("conflict", `${order.model} ${existing.version} is still ${existing.state} here`);
     }
-    const need = order.sizeMb + sumAdapters(order);
-    // Guards "memory committed beyond capacity": the check and the reservation happen in one step on
-    // the engine's single thread, so two orders racing cannot both pass it.
+    const need = order.sizeMb + adaptersMb(order);
+    // The check and the reservation run in one step on the engine's single thread, so concurrent orders cannot
+    // both pass the check and over-commit the memory.
     if (this.usedMb + need > this.capacityMb) {
       throw new Failure(
         "over-capacity",
@@ -66,7 +66,7 @@
       );
     }
     this.revision += 1;
-    this.slots.set(order.model, {
+    this.residencies.set(order.model, {
       resident: {
         model: order.model,
         version: order.version,
@@ -74,65 +74,65 @@
         adapters: order.adapters.map((adapter) => adapter.name),
         state: "loading",
       },
-      holders: 1,
+      useCount: 1,
     });
     return true;
   }
 
-  /** Whether the load of `model` is still wanted (it was not unloaded meanwhile). */
-  wanted(model: string): boolean {
-    return this.slots.get(model)?.resident.state === "loading";
+  /** Whether `model` is still loading, that is, it wasn't unloaded in the meantime. */
+  isLoading(model: string): boolean {
+    return this.residencies.get(model)?.resident.state === "loading";
   }
 
-  /** Ends a load: the model becomes ready, or its space is freed if it was unloaded meanwhile. */
+  /** Completes a load: the model becomes ready, or its memory is freed if it was unloaded in the meantime. */
   markReady(model: string): void {
-    const slot = this.slots.get(model);
-    if (slot === undefined) return;
-    if (slot.resident.state === "loading") this.move(slot, "ready");
-    this.drop(model);
+    const residency = this.residencies.get(model);
+    if (residency === undefined) return;
+    if (residency.resident.state === "loading") this.setState(residency, "ready");
+    this.releaseUse(model);
   }
 
-  /** Takes a ready model into use by one stream; `drop` ends the use. */
-  hold(model: string): void {
-    const slot = this.slots.get(model);
-    if (slot !== undefined) slot.holders += 1;
+  /** Marks a ready model as used by one more stream; ended by `releaseUse`. */
+  acquireUse(model: string): void {
+    const residency = this.residencies.get(model);
+    if (residency !== undefined) residency.useCount += 1;
   }
 
-  /** Ends one use (a stream or a load); the last one frees a model that is being unloaded. */
-  drop(model: string): void {
-    const slot = this.slots.get(model);
-    if (slot === undefined) return;
-    slot.holders -= 1;
-    this.freeUnused(model, slot);
+  /** Ends one use (a stream or a load); ending the last one frees the memory of an unloading model. */
+  releaseUse(model: string): void {
+    const residency = this.residencies.get(model);
+    if (residency === undefined) return;
+    residency.useCount -= 1;
+    this.freeUnused(model, residency);
   }
 
   /**
-   * Unloads a model: no new stream starts on it from now on. Throws `stale-fencing` under policy `refuse`.
+   * Unloads a model: no new stream starts on it. Throws `stale-fencing` under policy `refuse`.
    *
-   * Guards "memory over capacity while models change": the space of a model whose streams still run (or
-   * whose weights still arrive) is in use; freeing it at the order would let the next load be committed
-   * on top of it. It is counted until the last holder is done, so no request is cut either.
+   * The memory of a model with running streams or a weight transfer is still in use; freeing it at the order
+   * would let the next load over-commit the accelerator. It counts as reserved until the last use ends, so no
+   * stream is interrupted either.
    */
-  release(order: protocol.UnloadOrder): void {
-    this.fence(order.fencing);
-    const slot = this.slots.get(order.model);
-    if (slot === undefined) return;
-    this.move(slot, "unloading");
-    this.freeUnused(order.model, slot);
+  unload(order: protocol.UnloadOrder): void {
+    this.checkFencing(order.fencing);
+    const residency = this.residencies.get(order.model);
+    if (residency === undefined) return;
+    this.setState(residency, "unloading");
+    this.freeUnused(order.model, residency);
   }
 
-  private freeUnused(model: string, slot: Slot): void {
-    if (slot.resident.state !== "unloading" || slot.holders > 0) return;
+  private freeUnused(model: string, residency: Residency): void {
+    if (residency.resident.state !== "unloading" || residency.useCount > 0) return;
     this.revision += 1;
-    this.slots.delete(model);
+    this.residencies.delete(model);
   }
 
-  private move(slot: Slot, state: protocol.Resident["state"]): void {
+  private setState(residency: Residency, state: protocol.Resident["state"]): void {
     this.revision += 1;
-    slot.resident = { ...slot.resident, state };
+    residency.resident = { ...residency.resident, state };
   }
 
-  private fence(fencing: number): void {
+  private checkFencing(fencing: number): void {
     if (fencing < this.fencing && this.policy === "refuse") {
       throw new Failure("stale-fencing", `order carries fencing ${fencing}, engine has seen ${this.fencing}`);
     }
@@ -140,6 +140,6 @@
   }
 }
 
-function sumAdapters(order: protocol.LoadOrder): number {
+function adaptersMb(order: protocol.LoadOrder): number {
   return order.adapters.reduce((sum, adapter) => sum + adapter.sizeMb, 0);
 }
--- a/src/engine/orders.ts
+++ b/src/engine/orderExecutor.ts
@@ -1,4 +1,4 @@
-/** Carries out the orders an engine stand-in gets (load, unload), with the tests' switch to hold or lose them. */
+/** Executes an engine stand-in's orders (load, unload), with a fault switch by which tests delay or drop them. */
 import { setTimeout as sleep } from "node:timers/promises";
 import * as Schema from "effect/Schema";
 import type * as protocol from "../common/engineProtocol.ts";
@@ -7,12 +7,12 @@
 import type { PlatformClient } from "../common/platformClient.ts";
 import type { Memory } from "./memory.ts";
 
-/** Pause before an engine asks the weight store again after a refusal or a failure, in ms. */
+/** Pause before an engine retries the weight store after a rejection or a failure, in ms. */
 const weightsRetryMs = 200;
 
 /**
- * Fault switch for tests: the next `lateOrders` orders are held `delayMs` (past the sender's timeout),
- * then applied late, or with `lose` never applied at all.
+ * Fault switch for tests: the next `lateOrders` orders are delayed by `delayMs` (past the sender's timeout) and
+ * then executed late, or with `lose` never executed.
  */
 export const OrderFaults = Schema.Struct({
   lateOrders: Schema.Number,
@@ -23,51 +23,51 @@
 export type OrderFaults = typeof OrderFaults.Type;
 
 /** Options of `Orders`. */
-export interface OrdersOptions {
+export interface OrderExecutorOptions {
   readonly memory: Memory;
   readonly log: Log;
-  /** Where weights come from; without it a load takes `loadMs` only. */
+  /** Source of the weights; without it a load takes `loadMs` only. */
   readonly platform: PlatformClient | undefined;
-  /** Extra time a load takes after the weights arrive, in ms. */
+  /** Time a load takes after the weights have been fetched, in ms. */
   readonly loadMs: number;
 }
 
-/** Applies orders to the accelerator's memory. */
-export class Orders {
+/** Executes orders on the accelerator's memory. */
+export class OrderExecutor {
   /** The fault switch. */
   faults: OrderFaults = { lateOrders: 0, delayMs: 0, lose: false };
   private disposed = false;
 
-  constructor(private readonly options: OrdersOptions) {}
+  constructor(private readonly options: OrderExecutorOptions) {}
 
-  /** Reserves the space and returns at once; the weights arrive in the background. */
+  /** Reserves the memory and returns at once; the weights are fetched in the background. */
   async load(order: protocol.LoadOrder): Promise<void> {
-    await this.delay();
+    await this.applyFaults();
     const { memory, log } = this.options;
     if (!memory.reserve(order)) return;
     log.info({ event: "load", model: order.model, version: order.version, fencing: order.fencing });
     void this.fetch(order);
   }
 
-  /** Takes a model out of use; its space is freed with its last stream. */
+  /** Unloads a model; its memory is freed when its last stream ends. */
   async unload(order: protocol.UnloadOrder): Promise<void> {
-    await this.delay();
-    this.options.memory.release(order);
+    await this.applyFaults();
+    this.options.memory.unload(order);
     this.options.log.info({ event: "unload", model: order.model, fencing: order.fencing });
   }
 
-  /** Ends loads that still wait for the weight store. */
+  /** Stops loads that are waiting for the weight store. */
   dispose(): void {
     this.disposed = true;
   }
 
   /**
-   * Fetches the weights until they are here or the model is unloaded again: the weight store is limited
-   * in rate and may be down, and both pass. The reservation ends with the fetch, not with a later order.
+   * Retries fetching the weights until it succeeds or the model is unloaded: rate limiting and outages of the
+   * weight store are temporary. The use of the reservation ends with the fetch, not with a later order.
    */
   private async fetch(order: protocol.LoadOrder): Promise<void> {
     const { memory, log, platform, loadMs } = this.options;
-    while (memory.wanted(order.model) && !this.disposed) {
+    while (memory.isLoading(order.model) && !this.disposed) {
       try {
         await platform?.fetchWeights(order.sizeMb);
         await sleep(loadMs);
@@ -80,7 +80,7 @@
     memory.markReady(order.model);
   }
 
-  private async delay(): Promise<void> {
+  private async applyFaults(): Promise<void> {
     if (this.faults.lateOrders <= 0) return;
     this.faults = { ...this.faults, lateOrders: this.faults.lateOrders - 1 };
     const { delayMs, lose } = this.faults;
--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Decides at once whether a request can still be served in time. Under overload a request that would
- * miss its deadline anyway is refused when it arrives, with when to retry, instead of taking a place from
- * one that can make it; and a customer over its share of a full engine is refused before one that is not.
+ * Admission control. Under overload, a request that would miss its deadline is rejected on arrival with a
+ * retry hint, instead of taking a slot from one that can meet its deadline. A customer over its share of a
+ * saturated engine is rejected before one that is within its share.
  */
 import { Failure } from "../common/errors.ts";
 import type { Entitlement } from "./configWatcher.ts";
@@ -9,10 +9,10 @@
 import type { ServiceTimes } from "./serviceTimes.ts";
 
 /** A request to admit. */
-export interface Applicant {
+export interface AdmissionRequest {
   readonly entitlement: Entitlement;
   readonly model: string;
-  /** Most tokens it may be answered with. */
+  /** Token limit of the completion. */
   readonly tokens: number;
   readonly requestId: string;
   /** Absolute deadline, epoch ms. */
@@ -27,32 +27,32 @@
 }
 
 const defaults = { enabled: true };
-/** How far past the time left a request may be expected to go: expectations err both ways. */
-const tolerance = 1.1;
-/** The same for a customer over its share: what is left goes to the others first. */
-const overShareTolerance = 0.85;
-/** How far past its share a customer may go while others want the same engine. */
-const shareSlack = 1.1;
+/** Expected time may exceed the time left by this factor, as estimates err in both directions. */
+const deadlineToleranceRatio = 1.1;
+/** The same for a customer over its share: remaining capacity goes to the other customers first. */
+const overShareToleranceRatio = 0.85;
+/** Factor by which a customer may exceed its share while other customers use the same engine. */
+const shareSlackRatio = 1.1;
 
 interface Usage {
   count: number;
   share: number;
 }
 
-/** Refuses what cannot be served in time; keeps who uses which engine through this node. */
+/** Rejects requests that cannot be served in time; tracks each customer's use of each engine through this node. */
 export class Admission {
   private readonly options: AdmissionOptions & typeof defaults;
-  /** Streams of each customer by engine address. */
-  private readonly engines = new Map<string, Map<string, Usage>>();
+  /** Streams in flight by engine address and customer. */
+  private readonly usageByEngine = new Map<string, Map<string, Usage>>();
 
   constructor(options: AdmissionOptions) {
     this.options = { ...defaults, ...options };
   }
 
-  /** Counts a request onto `engine`; call the result once when it is answered. */
-  enter(entitlement: Entitlement, engine: Engine): () => void {
-    const customers = this.engines.get(engine.address) ?? new Map<string, Usage>();
-    this.engines.set(engine.address, customers);
+  /** Counts a request as in flight on `engine`; call the returned function once when it completes. */
+  trackRequest(entitlement: Entitlement, engine: Engine): () => void {
+    const customers = this.usageByEngine.get(engine.address) ?? new Map<string, Usage>();
+    this.usageByEngine.set(engine.address, customers);
     const usage = customers.get(entitlement.customer) ?? { count: 0, share: entitlement.share };
     usage.count += 1;
     customers.set(entitlement.customer, usage);
@@ -62,17 +62,17 @@
     };
   }
 
-  /** Throws `over-share` or `overloaded` if `engine`, the best there is, cannot serve the request in time. */
-  check(applicant: Applicant, engine: Engine): void {
+  /** Throws `over-share` or `overloaded` if `engine`, the best candidate, cannot serve the request in time. */
+  check(request: AdmissionRequest, engine: Engine): void {
     if (!this.options.enabled) return;
-    const crowding = crowdingOf(engine);
-    if (crowding <= 1) return;
-    const { entitlement, model, tokens, requestId } = applicant;
+    const overutilization = overutilizationOf(engine);
+    if (overutilization <= 1) return;
+    const { entitlement, model, tokens, requestId } = request;
     const { times } = this.options;
-    const expectedMs = times.expected(model, tokens) + (crowding - 1) * times.mean(model);
-    const leftMs = applicant.deadline - Date.now();
+    const expectedMs = times.expected(model, tokens) + (overutilization - 1) * times.mean(model);
+    const leftMs = request.deadline - Date.now();
     const overShare = this.overShare(entitlement, engine);
-    if (expectedMs <= leftMs * (overShare ? overShareTolerance : tolerance)) return;
+    if (expectedMs <= leftMs * (overShare ? overShareToleranceRatio : deadlineToleranceRatio)) return;
     const expectation = `${model} would take about ${Math.round(expectedMs)} ms of the ${Math.round(leftMs)} left`;
     if (overShare)
       throw new Failure("over-share", `over the share of a full engine; ${expectation}`, requestId);
@@ -80,16 +80,16 @@
   }
 
   private overShare(entitlement: Entitlement, engine: Engine): boolean {
-    const customers = [...(this.engines.get(engine.address)?.values() ?? [])];
+    const customers = [...(this.usageByEngine.get(engine.address)?.values() ?? [])];
     if (customers.length < 2) return false;
     const shares = customers.reduce((sum, usage) => sum + usage.share, 0);
     const total = customers.reduce((sum, usage) => sum + usage.count, 0);
-    const mine = this.engines.get(engine.address)?.get(entitlement.customer)?.count ?? 0;
-    return shares > 0 && mine > (entitlement.share / shares) * total * shareSlack;
+    const own = this.usageByEngine.get(engine.address)?.get(entitlement.customer)?.count ?? 0;
+    return shares > 0 && own > (entitlement.share / shares) * total * shareSlackRatio;
   }
 }
 
-/** How crowded an engine is for one more stream: 1 while it has a place free, 2 when twice full. */
-export function crowdingOf(engine: Engine): number {
+/** Overutilization level of an engine with one more stream: 1 while it has a free slot, 2 at twice its slots. */
+export function overutilizationOf(engine: Engine): number {
   return Math.max(1, (estimatedLoad(engine) + 1) / Math.max(1, engine.status?.slots ?? 1));
 }
--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -1,4 +1,4 @@
-/** What a caller asks for with one completion. */
+/** A caller's completion request with its deadline and response. */
 import type * as http from "node:http";
 import type { CompletionRequest } from "../common/openai.ts";
 import type { Entitlement } from "./configWatcher.ts";
@@ -8,7 +8,7 @@
   readonly requestId: string;
   readonly entitlement: Entitlement;
   readonly request: CompletionRequest;
-  /** Path to forward to. */
+  /** Upstream request path. */
   readonly path: string;
   /** Absolute deadline, epoch ms. */
   readonly deadline: number;
--- a/src/entry/completionProxy.ts
+++ b/src/entry/completionProxy.ts
@@ -1,45 +1,45 @@
 /**
- * Forwards one completion to an engine and relays its tokens into the caller's `Answer`. Engines are
- * always asked to stream, also for callers that want the answer whole: a silent connection shows between
- * tokens instead of at the deadline, and an answer that breaks off can be resumed on another engine.
+ * Forwards one completion to an engine and relays its tokens into the caller's `CompletionResponse`. Engines
+ * are always asked to stream, also for callers that want one JSON body: an unresponsive connection shows
+ * between tokens instead of at the deadline, and an interrupted response can be resumed on another engine.
  */
 import * as http from "node:http";
 import { Failure } from "../common/errors.ts";
 import { Chunk, headers, type CompletionRequest } from "../common/openai.ts";
 import { decodeEither } from "../common/decode.ts";
-import type { Answer } from "./answer.ts";
+import type { CompletionResponse } from "./completionResponse.ts";
 import type { Engine } from "./fleet.ts";
 
-/** Errors of a connection that its other end closed or reset. */
-const cutCodes: ReadonlySet<string | undefined> = new Set(["ECONNRESET", "EPIPE"]);
+/** Error codes of a connection that the peer closed or reset. */
+const connectionLostCodes: ReadonlySet<string | undefined> = new Set(["ECONNRESET", "EPIPE"]);
 
-/** The connection ended before the answer did, as it does when the engine's process ends. */
-export class AnswerCut extends Failure {
+/** The connection was lost before the response was complete, as happens when the engine process crashes. */
+export class IncompleteResponse extends Failure {
   constructor(message: string, requestId: string) {
     super("upstream-failed", message, requestId);
   }
 }
 
-/** What one forward needs. */
-export interface Forward {
+/** Options of one `CompletionProxy.forward` call. */
+export interface ForwardOptions {
   readonly engine: Engine;
   readonly path: string;
   readonly request: CompletionRequest;
   readonly priority: string;
   /** Absolute deadline, epoch ms. */
   readonly deadline: number;
-  readonly answer: Answer;
+  readonly response: CompletionResponse;
 }
 
 /** Options of a `CompletionProxy`. */
 export interface CompletionProxyOptions {
-  /** A connection silent this long (no byte either way) is given up, in ms. */
+  /** A connection without any byte in either direction for this long is aborted, in ms. */
   readonly idleTimeoutMs?: number;
 }
 
 const defaults = { idleTimeoutMs: 5000 };
 
-/** Relays completions; owns the keep-alive agent of its upstream connections. */
+/** Relays completions; owns the keep-alive agent of the upstream connections. */
 export class CompletionProxy {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 256 });
   private readonly idleTimeoutMs: number;
@@ -49,42 +49,42 @@
   }
 
   /**
-   * Forwards what is left of the request; resolves when the answer is whole. Rejects with a `Failure`
-   * otherwise; `answer.tokens` then says how much the caller has, and another engine may go on from there.
+   * Forwards the rest of the request; resolves when the response is complete. Rejects with a `Failure`
+   * otherwise; another engine can then resume after `response.deliveredTokens`.
    */
-  async forward(forward: Forward): Promise<void> {
-    const { answer } = forward;
+  async forward(forward: ForwardOptions): Promise<void> {
+    const { response } = forward;
     const remaining = forward.deadline - Date.now();
     if (remaining <= 0)
-      throw new Failure("deadline-exceeded", "the deadline passed before an engine was reached", answer.id);
-    const upstream = this.open(forward);
+      throw new Failure("deadline-exceeded", "the deadline passed before an engine was reached", response.id);
+    const upstream = this.sendUpstream(forward);
     let cause: Failure | undefined;
-    const broken = (kind: "deadline-exceeded" | "upstream-failed", message: string): void => {
-      cause ??= new Failure(kind, message, answer.id);
+    const abort = (kind: "deadline-exceeded" | "upstream-failed", message: string): void => {
+      cause ??= new Failure(kind, message, response.id);
       upstream.destroy(cause);
     };
     const deadline = setTimeout(() => {
-      broken("deadline-exceeded", "the deadline passed during generation");
+      abort("deadline-exceeded", "the deadline passed during generation");
     }, remaining);
-    // Guards "connection silent for good": no byte for idleTimeoutMs ends the exchange instead of hanging it.
+    // An unresponsive connection ends the exchange after idleTimeoutMs instead of blocking until the deadline.
     upstream.setTimeout(this.idleTimeoutMs, () => {
-      broken("upstream-failed", "engine connection went silent");
+      abort("upstream-failed", "engine sent no data within the idle timeout");
     });
-    // Guards "an engine works for nobody": a caller that hangs up frees its place on the engine.
-    const stopListening = answer.onHangUp(() => {
-      broken("upstream-failed", "the caller hung up");
+    // A disconnected caller cancels the upstream request, which frees its slot on the engine.
+    const stopListening = response.onDisconnect(() => {
+      abort("upstream-failed", "the caller disconnected");
     });
     try {
-      await relay(await responseOf(upstream), answer);
+      await relay(await responseOf(upstream), response);
     } catch (error) {
       upstream.destroy();
-      // Guards "a busy engine is taken for a broken one": once the answer has begun, ending the exchange at
-      // the deadline shows as an aborted response, and was held against an engine that did nothing wrong.
+      // Prevents a busy engine from being ejected as failed: once the response has started, aborting the exchange
+      // at the deadline surfaces as an aborted response, which isn't the engine's fault.
       if (cause !== undefined) throw cause;
       if (error instanceof Failure) throw error;
       const { code, message } = error as NodeJS.ErrnoException;
-      if (cutCodes.has(code)) throw new AnswerCut(message, answer.id);
-      throw new Failure("upstream-failed", error instanceof Error ? message : String(error), answer.id);
+      if (connectionLostCodes.has(code)) throw new IncompleteResponse(message, response.id);
+      throw new Failure("upstream-failed", error instanceof Error ? message : String(error), response.id);
     } finally {
       clearTimeout(deadline);
       stopListening();
@@ -96,12 +96,12 @@
     this.agent.destroy();
   }
 
-  private open(forward: Forward): http.ClientRequest {
-    const { answer, request } = forward;
+  private sendUpstream(forward: ForwardOptions): http.ClientRequest {
+    const { response, request } = forward;
     const body = JSON.stringify({
       ...request,
       stream: true,
-      ...(answer.tokens > 0 ? { resume: answer.tokens } : {}),
+      ...(response.deliveredTokens > 0 ? { resume: response.deliveredTokens } : {}),
     });
     const upstream = http.request(new URL(forward.path, forward.engine.address), {
       method: "POST",
@@ -109,7 +109,7 @@
       headers: {
         "content-type": "application/json",
         "content-length": Buffer.byteLength(body),
-        [headers.requestId]: answer.id,
+        [headers.requestId]: response.id,
         [headers.priority]: forward.priority,
       },
     });
@@ -125,56 +125,61 @@
   });
 }
 
-/** Passes each token on; resolves on the stream's own end, rejects on anything short of it. */
-async function relay(response: http.IncomingMessage, answer: Answer): Promise<void> {
-  if (response.statusCode !== 200) throw await failureOf(response, answer.id);
-  // Guards "part of an answer garbled": a character's bytes may arrive in two chunks; decoded chunk by
-  // chunk, each half turns into a replacement character.
-  response.setEncoding("utf8");
+/** Relays each token; resolves on the finish reason, rejects if the stream ends without one. */
+async function relay(upstreamResponse: http.IncomingMessage, response: CompletionResponse): Promise<void> {
+  if (upstreamResponse.statusCode !== 200) throw await failureOf(upstreamResponse, response.id);
+  // A character's bytes may arrive in two chunks; decoded separately, each half would become a replacement
+  // character.
+  upstreamResponse.setEncoding("utf8");
   let pending = "";
-  for await (const text of response as AsyncIterable<string>) {
+  for await (const text of upstreamResponse as AsyncIterable<string>) {
     pending += text;
     const events = pending.split("\n\n");
     pending = events.pop() ?? "";
-    for (const event of events) if (await deliver(event, answer)) return;
+    for (const event of events) if (await deliver(event, response)) return;
   }
-  // Guards "a cut answer passes for whole": an engine that closes its stream early ends it like any other.
-  throw new AnswerCut("the engine's stream ended before its answer did", answer.id);
+  // A stream closed early ends like a complete one, so only a finish reason counts as complete.
+  throw new IncompleteResponse("the engine closed the stream before the response was complete", response.id);
 }
 
-/** Delivers one SSE event; true when it ended the answer. Comments (the engine's "waiting") are skipped. */
-async function deliver(event: string, answer: Answer): Promise<boolean> {
+/** Relays one SSE event; true when it ended the response. Comments (the engine's keep-alives) are skipped. */
+async function deliver(event: string, response: CompletionResponse): Promise<boolean> {
   if (!event.startsWith("data: {")) return false;
   const chunk = decodeEither(
     Chunk,
     JSON.parse(event.slice("data: ".length)),
     "upstream-failed",
   ).unsafeCoerce();
-  // Guards "part of another's answer": a chunk that names another request is never passed on.
-  if (chunk.id !== answer.id)
-    throw new Failure("upstream-failed", "engine sent a chunk of another request", answer.id);
+  // Prevents leaking another caller's tokens: a chunk with another request's id is never relayed.
+  if (chunk.id !== response.id)
+    throw new Failure("upstream-failed", "engine sent a chunk of another request", response.id);
   const choice = chunk.choices[0];
-  if (choice?.delta.content !== undefined && !answer.token(choice.delta.content)) await drained(answer);
+  if (choice?.delta.content !== undefined && !response.writeToken(choice.delta.content))
+    await writable(response);
   const reason = choice?.finish_reason ?? null;
   if (reason === null) return false;
-  // Guards "a cut answer passes for whole": an engine that stops ends its streams as cancelled.
+  // A stopping engine ends its streams with reason "cancelled"; the response isn't complete then.
   if (reason === "cancelled")
-    throw new Failure("upstream-failed", "the engine cancelled the stream", answer.id);
-  answer.end(reason);
+    throw new Failure("upstream-failed", "the engine cancelled the stream", response.id);
+  response.end(reason);
   return true;
 }
 
-function drained(answer: Answer): Promise<void> {
+function writable(response: CompletionResponse): Promise<void> {
   return new Promise((resolve) => {
-    answer.onDrain(resolve);
-    answer.onHangUp(resolve);
+    response.onDrain(resolve);
+    response.onDisconnect(resolve);
   });
 }
 
-async function failureOf(response: http.IncomingMessage, requestId: string): Promise<Failure> {
-  const fallback = new Failure("upstream-failed", `engine answered ${response.statusCode}`, requestId);
+async function failureOf(upstreamResponse: http.IncomingMessage, requestId: string): Promise<Failure> {
+  const fallback = new Failure(
+    "upstream-failed",
+    `engine responded with status ${upstreamResponse.statusCode}`,
+    requestId,
+  );
   const chunks: Buffer[] = [];
-  for await (const chunk of response as AsyncIterable<Buffer>) chunks.push(chunk);
+  for await (const chunk of upstreamResponse as AsyncIterable<Buffer>) chunks.push(chunk);
   try {
     return Failure.fromBody(JSON.parse(Buffer.concat(chunks).toString("utf8"))) ?? fallback;
   } catch {
--- a/src/entry/answer.ts
+++ b/src/entry/completionResponse.ts
@@ -1,6 +1,6 @@
 /**
- * The caller's side of one completion: what has been delivered so far, streamed or gathered whole. It
- * outlives the engine it came from, so a stream that breaks on one engine can go on from another.
+ * The response of one completion to its caller, streamed or buffered into one JSON body. It outlives the
+ * upstream exchange, so a stream that fails on one engine can be resumed from another.
  */
 import type * as http from "node:http";
 import { Failure } from "../common/errors.ts";
@@ -14,55 +14,56 @@
 } from "../common/openai.ts";
 
 /** Options of an `Answer`. */
-export interface AnswerOptions {
+export interface CompletionResponseOptions {
   readonly res: http.ServerResponse;
   readonly identity: CompletionIdentity;
   readonly streaming: boolean;
 }
 
-/** Delivers tokens in order to one caller, each exactly once. */
-export class Answer {
-  /** Tokens delivered (streamed) or gathered (whole) so far; a resumed stream starts after them. */
-  tokens = 0;
+/** Sends tokens to one caller in order, each exactly once. */
+export class CompletionResponse {
+  /** Tokens sent (streaming) or buffered so far; a resumed stream starts after them. */
+  deliveredTokens = 0;
   private text = "";
 
-  constructor(private readonly options: AnswerOptions) {}
+  constructor(private readonly options: CompletionResponseOptions) {}
 
-  /** Id every chunk of this answer must carry. */
+  /** Id that every chunk of this response must carry. */
   get id(): string {
     return this.options.identity.id;
   }
 
-  /** Whether the caller has hung up. */
-  get abandoned(): boolean {
+  /** Whether the caller has disconnected. */
+  get callerDisconnected(): boolean {
     return this.options.res.destroyed;
   }
 
-  /** Delivers one token; false asks the sender to pause until `onDrain`. */
-  token(content: string): boolean {
-    this.tokens += 1;
+  /** Sends or buffers one token; returns false if the writer should pause until `onDrain`. */
+  writeToken(content: string): boolean {
+    this.deliveredTokens += 1;
     if (!this.options.streaming) {
       this.text += content;
       return true;
     }
-    this.open();
+    this.writeHead();
     return this.options.res.write(chunkEvent(this.options.identity, content));
   }
 
-  /** Ends the answer: the last chunk and `[DONE]`, or the whole JSON body. */
+  /** Ends the response: the last chunk and `[DONE]`, or the complete JSON body. */
   end(reason: FinishReason): void {
     const { res, identity, streaming } = this.options;
     if (!streaming) {
       sendJson(res, 200, completionBody(identity, this.text, reason));
       return;
     }
-    this.open();
+    this.writeHead();
     res.end(chunkEvent(identity, undefined, reason) + doneEvent);
   }
 
   /**
-   * Ends a stream that cannot go on: the failure as an event and no `[DONE]`, so the caller sees at once
-   * that its answer is not whole, and why. False if nothing was streamed yet (an HTTP status still fits).
+   * Ends a stream that cannot be completed: sends the failure as an event and no `[DONE]`, so the caller sees
+   * at once that the response is incomplete, and why. Returns false if no headers were sent yet, so an HTTP
+   * status can still be sent.
    */
   fail(failure: Failure): boolean {
     if (!this.options.res.headersSent) return false;
@@ -70,18 +71,18 @@
     return true;
   }
 
-  /** Calls `listener` when the caller can take more. */
+  /** Calls `listener` when the caller's connection accepts more data. */
   onDrain(listener: () => void): void {
     this.options.res.once("drain", listener);
   }
 
-  /** Calls `listener` if the caller hangs up; returns a function that stops listening. */
-  onHangUp(listener: () => void): () => void {
+  /** Calls `listener` if the caller disconnects; returns a function that removes the listener. */
+  onDisconnect(listener: () => void): () => void {
     this.options.res.once("close", listener);
     return () => this.options.res.off("close", listener);
   }
 
-  private open(): void {
+  private writeHead(): void {
     if (!this.options.res.headersSent)
       this.options.res.writeHead(200, { "content-type": "text/event-stream", "cache-control": "no-cache" });
   }
--- a/src/entry/configWatcher.ts
+++ b/src/entry/configWatcher.ts
@@ -1,7 +1,7 @@
 /**
  * Watches templates in the table service and keeps the newest accepted version of each. A version is
- * applied only if it is higher than the one held, so configuration never reverts; while the store is
- * down the last accepted configuration stays in force, and is told to nodes that lack it.
+ * applied only if it is higher than the current one, so configuration never reverts. While the store is
+ * unavailable, the last accepted configuration stays in force and is served to nodes that lack it.
  */
 import * as Schema from "effect/Schema";
 import type { Log } from "../common/log.ts";
@@ -31,7 +31,7 @@
 /** Options of a `ConfigWatcher`. */
 export interface ConfigWatcherOptions {
   readonly platform: PlatformClient;
-  /** Asked while the table service cannot be. */
+  /** Queried while the table service is unavailable. */
   readonly peers?: Peers;
   readonly log: Log;
   /** Poll period in ms. */
@@ -40,12 +40,12 @@
 
 const defaults = { pollMs: 500 };
 
-/** Holds the accepted templates; `entitlement(customer)` answers what a customer may call. */
+/** Holds the accepted templates; `entitlement(customer)` returns what a customer may call. */
 export class ConfigWatcher extends PeriodicTask {
   /** Revision of the table up to which changes are applied. */
   revision = 0;
   private readonly templates = new Map<string, StoredTemplate>();
-  /** The rows the templates came from, as told to peers. */
+  /** The rows the templates were decoded from, as served to peers. */
   private readonly rows = new Map<string, Row>();
   private entitlements = new Map<string, Entitlement>();
 
@@ -63,7 +63,7 @@
     return [...this.templates.values()].filter((stored) => !stored.retired).map((stored) => stored.template);
   }
 
-  /** Version held of each template, by name. */
+  /** Current version of each template, by name. */
   versions(): Record<string, number> {
     return Object.fromEntries([...this.templates].map(([name, stored]) => [name, stored.version]));
   }
@@ -78,15 +78,15 @@
     const { rows, revision } = await this.changes();
     let changed = false;
     for (const row of rows) changed = this.accept(row) || changed;
-    // Guards "configuration reverts": a poll answered by a lagging reader could carry an older revision;
-    // taking the maximum keeps the watermark from moving back.
+    // A poll answered by a lagging replica could carry an older revision; taking the maximum keeps the
+    // watermark from moving back.
     this.revision = Math.max(this.revision, revision);
     if (changed) this.entitlements = merge(this.live());
   }
 
   /**
-   * Changes since the revision held. Guards "a node that starts while the store is down, or is cut off
-   * from it, serves nobody": its peers have what the store last told them, under the store's versions.
+   * Changes since the current revision. A node that starts while the store is unavailable, or is partitioned
+   * from it, gets the last known rows from its peers, with the store's versions.
    */
   private async changes(): Promise<ScanResult> {
     const { platform, peers, log } = this.options;
@@ -95,7 +95,7 @@
     } catch (error) {
       if (peers === undefined) throw error;
       log.warn({ event: "config-from-peers", error: String(error) });
-      return peers.ask("config.rows", { since: this.revision }, ScanResult);
+      return peers.callAny("config.rows", { since: this.revision }, ScanResult);
     }
   }
 
@@ -106,9 +106,9 @@
       this.options.log.error({ event: "template-undecodable", template: name });
       return false;
     }
-    const held = this.templates.get(name);
-    // Guards "configuration reverts": only a strictly newer version replaces the one in force.
-    if (held !== undefined && held.version >= decoded.value.version) return false;
+    const current = this.templates.get(name);
+    // Only a strictly newer version replaces the one in force, so configuration never reverts.
+    if (current !== undefined && current.version >= decoded.value.version) return false;
     this.templates.set(name, decoded.value);
     this.rows.set(name, row);
     this.options.log.info({
@@ -116,7 +116,7 @@
       template: name,
       version: decoded.value.version,
       retired: decoded.value.retired,
-      previous: held?.version ?? null,
+      previous: current?.version ?? null,
     });
     return true;
   }
@@ -125,15 +125,15 @@
 function merge(templates: readonly Template[]): Map<string, Entitlement> {
   const byCustomer = new Map<string, Entitlement>();
   for (const template of templates) {
-    const held = byCustomer.get(template.customer);
-    const models = new Map(held?.models);
-    const services = new Map(held?.services);
+    const current = byCustomer.get(template.customer);
+    const models = new Map(current?.models);
+    const services = new Map(current?.services);
     for (const model of template.models) models.set(model.name, model);
     for (const service of template.services) services.set(service.name, service);
     byCustomer.set(template.customer, {
       customer: template.customer,
-      priority: higher(held?.priority, template.priority),
-      share: Math.max(template.share, held?.share ?? 0),
+      priority: higherPriority(current?.priority, template.priority),
+      share: Math.max(template.share, current?.share ?? 0),
       models,
       services,
     });
@@ -141,7 +141,7 @@
   return byCustomer;
 }
 
-function higher(a: Priority | undefined, b: Priority): Priority {
+function higherPriority(a: Priority | undefined, b: Priority): Priority {
   const order: readonly Priority[] = ["high", "normal", "low"];
   return a !== undefined && order.indexOf(a) < order.indexOf(b) ? a : b;
 }
--- a/src/entry/demandBoard.ts
+++ b/src/entry/demandAggregator.ts
@@ -1,53 +1,53 @@
-/** The lease holder's view of demand: every entry node's last report, summed by model. */
+/** Aggregates demand at the lease holder: the last report of every entry node, summed by model. */
 import type { DemandReport, ModelDemand } from "./demandReport.ts";
 
 interface NodeDemand {
-  at: number;
+  receivedAt: number;
   readonly models: Map<string, ModelDemand>;
 }
 
 /** Options of a `DemandBoard`. */
-export interface DemandBoardOptions {
-  /** A node silent this long no longer counts, in ms. Nodes report at least every `fullEvery` periods. */
+export interface DemandAggregatorOptions {
+  /** A node without a report for this long no longer counts, in ms. Nodes report at least every `fullReportEvery` periods. */
   readonly staleMs?: number;
 }
 
 const defaults = { staleMs: 30_000 };
 
-/** Gathers demand reports; a node's silence (it died, or nothing changes) is told apart by `staleMs`. */
-export class DemandBoard {
+/** Collects demand reports; `staleMs` tells a dead node from one whose demand doesn't change. */
+export class DemandAggregator {
   private readonly nodes = new Map<string, NodeDemand>();
   private readonly staleMs: number;
 
-  constructor(options: DemandBoardOptions = {}) {
+  constructor(options: DemandAggregatorOptions = {}) {
     this.staleMs = options.staleMs ?? defaults.staleMs;
   }
 
-  /** Takes one node's report; true asks for a full one (this was a partial report of a node not yet known). */
+  /** Records a node's report; true if a full one is needed (this was a partial report of an unknown node). */
   record(report: DemandReport): boolean {
     const known = this.nodes.get(report.node);
     const models = (report.full ? undefined : known?.models) ?? new Map<string, ModelDemand>();
     for (const model of report.models) models.set(model.model, model);
-    this.nodes.set(report.node, { at: Date.now(), models });
+    this.nodes.set(report.node, { receivedAt: Date.now(), models });
     return known === undefined && !report.full;
   }
 
-  /** Demand of every model, summed over the nodes heard from lately. */
+  /** Demand of every model, summed over the nodes that reported recently. */
   totals(): Map<string, ModelDemand> {
-    const horizon = Date.now() - this.staleMs;
+    const oldestCounted = Date.now() - this.staleMs;
     const totals = new Map<string, ModelDemand>();
-    for (const [node, { at, models }] of this.nodes) {
-      if (at < horizon) {
+    for (const [node, { receivedAt, models }] of this.nodes) {
+      if (receivedAt < oldestCounted) {
         this.nodes.delete(node);
         continue;
       }
-      for (const [model, demand] of models) totals.set(model, added(totals.get(model), demand));
+      for (const [model, demand] of models) totals.set(model, sumOf(totals.get(model), demand));
     }
     return totals;
   }
 }
 
-function added(total: ModelDemand | undefined, demand: ModelDemand): ModelDemand {
+function sumOf(total: ModelDemand | undefined, demand: ModelDemand): ModelDemand {
   if (total === undefined) return demand;
   return {
     model: demand.model,
--- a/src/entry/demandMeter.ts
+++ b/src/entry/demandMeter.ts
@@ -1,36 +1,36 @@
 /**
- * Measures, on one entry node, how many streams of each model its callers want at once: their rate times
- * the time one takes on an engine with a place free. Streams in flight would not do: a queue counts too
- * much and refused requests too little. The averages live here and not at the lease holder, so a new
- * holder starts from full knowledge after one round of reports.
+ * Measures, on one entry node, the concurrent streams of each model that its callers demand: their arrival
+ * rate times the service time on an engine with a free slot. Streams in flight would overcount queued and
+ * undercount rejected requests. The averages are kept here and not at the lease holder, so a new holder has
+ * complete averages after one round of reports.
  */
 import type { DemandReport, ModelDemand } from "./demandReport.ts";
 
 /** Options of a `DemandMeter`. */
 export interface DemandMeterOptions {
   readonly node: string;
-  /** The time one request for a model takes on an engine with a place free, in ms; 0 if not known. */
+  /** Service time of one request for a model on an engine with a free slot, in ms; 0 if not known. */
   readonly serviceMs: (model: string) => number;
-  /** Half-lives of the averages, in ms: demand when rising, when falling, and the usual demand. */
-  readonly riseMs?: number;
-  readonly fallMs?: number;
-  readonly usualMs?: number;
-  /** Every this many reports, all models are reported. */
-  readonly fullEvery?: number;
+  /** Half-lives of the averages, in ms: short-term demand when rising and when falling, and long-term demand. */
+  readonly riseHalfLifeMs?: number;
+  readonly fallHalfLifeMs?: number;
+  readonly usualHalfLifeMs?: number;
+  /** Every this many reports, all models are included. */
+  readonly fullReportEvery?: number;
 }
 
-const defaults = { riseMs: 1500, fallMs: 4000, usualMs: 60_000, fullEvery: 30 };
-/** A change of demand smaller than this part (and than this many streams) is not worth a report. */
-const reportedChange = { part: 0.1, streams: 0.1 };
-/** Least part of its window for which the long average is scaled up. */
-const leastKnown = 0.05;
-/** Usual demand below which an idle model is forgotten, in streams. */
-const forgotten = 0.0005;
+const defaults = { riseHalfLifeMs: 1500, fallHalfLifeMs: 4000, usualHalfLifeMs: 60_000, fullReportEvery: 30 };
+/** A change of demand is reported if it exceeds both this ratio and this many streams. */
+const reportedChange = { ratio: 0.1, streams: 0.1 };
+/** The long-term average is scaled up for at least this fraction of its window. */
+const minWindowRatio = 0.05;
+/** Demand below which an idle model's counters are removed, in streams. */
+const negligibleStreams = 0.0005;
 
-interface Gauge {
+interface ModelCounters {
   inFlight: number;
   waiting: number;
-  /** Requests that arrived since the averages were last brought up to date. */
+  /** Requests that arrived since the averages were last updated. */
   arrivals: number;
   demand: number;
   usual: number;
@@ -40,63 +40,63 @@
 
 /** Counts streams by model and turns them into reports. */
 export class DemandMeter {
-  private readonly gauges = new Map<string, Gauge>();
+  private readonly countersByModel = new Map<string, ModelCounters>();
   private readonly options: DemandMeterOptions & typeof defaults;
   private readonly startedAt = Date.now();
   private averagedAt = this.startedAt;
   private reports = 0;
-  private fullNext = true;
+  private nextIsFull = true;
 
   constructor(options: DemandMeterOptions) {
     this.options = { ...defaults, ...options };
   }
 
-  /** A request for `model` has arrived; call the result once when it is answered. */
-  begin(model: string): () => void {
-    const gauge = this.gauge(model);
-    gauge.inFlight += 1;
-    gauge.arrivals += 1;
-    gauge.lastUsed = Date.now();
+  /** Counts a request for `model` that has arrived; call the returned function once when it completes. */
+  startRequest(model: string): () => void {
+    const counters = this.counters(model);
+    counters.inFlight += 1;
+    counters.arrivals += 1;
+    counters.lastUsed = Date.now();
     return () => {
-      gauge.inFlight -= 1;
+      counters.inFlight -= 1;
     };
   }
 
-  /** A request starts waiting for a first copy of `model`; call the result once when it stops waiting. */
-  wait(model: string): () => void {
-    const gauge = this.gauge(model);
-    gauge.waiting += 1;
+  /** Counts a request waiting for a first replica of `model`; call the returned function once when it stops waiting. */
+  startWaiting(model: string): () => void {
+    const counters = this.counters(model);
+    counters.waiting += 1;
     return () => {
-      gauge.waiting -= 1;
+      counters.waiting -= 1;
     };
   }
 
-  /** Asks that the next report names every model (the receiver has just taken over). */
-  reportAll(): void {
-    this.fullNext = true;
+  /** Makes the next report include every model (the receiver has just become lease holder). */
+  requestFullReport(): void {
+    this.nextIsFull = true;
   }
 
-  /** The next report, or undefined if nothing changed enough to be worth one. */
+  /** The next report, or undefined if no model's demand changed enough. */
   report(now = Date.now()): DemandReport | undefined {
-    this.average(now);
-    const full = this.fullNext || this.reports % this.options.fullEvery === 0;
+    this.updateAverages(now);
+    const full = this.nextIsFull || this.reports % this.options.fullReportEvery === 0;
     const models: ModelDemand[] = [];
-    for (const [model, gauge] of this.gauges) {
-      const current = this.demandOf(model, gauge, now);
-      if (!full && !differs(gauge.reported, current)) continue;
-      gauge.reported = current;
+    for (const [model, counters] of this.countersByModel) {
+      const current = this.demandOf(model, counters, now);
+      if (!full && !changedEnough(counters.reported, current)) continue;
+      counters.reported = current;
       models.push(current);
     }
     this.reports += 1;
     if (!full && models.length === 0) return undefined;
-    this.fullNext = false;
+    this.nextIsFull = false;
     return { node: this.options.node, full, models };
   }
 
-  private gauge(model: string): Gauge {
-    const known = this.gauges.get(model);
+  private counters(model: string): ModelCounters {
+    const known = this.countersByModel.get(model);
     if (known !== undefined) return known;
-    const gauge: Gauge = {
+    const counters: ModelCounters = {
       inFlight: 0,
       waiting: 0,
       arrivals: 0,
@@ -105,36 +105,43 @@
       lastUsed: Date.now(),
       reported: undefined,
     };
-    this.gauges.set(model, gauge);
-    return gauge;
+    this.countersByModel.set(model, counters);
+    return counters;
   }
 
-  private demandOf(model: string, gauge: Gauge, now: number): ModelDemand {
-    const { waiting, lastUsed } = gauge;
-    // The long average starts from nothing; what of its window this node has not lived through is left out.
-    const known = Math.max(leastKnown, 1 - 0.5 ** ((now - this.startedAt) / this.options.usualMs));
+  private demandOf(model: string, counters: ModelCounters, now: number): ModelDemand {
+    const { waiting, lastUsed } = counters;
+    // The long-term average starts from 0; it is scaled up by the part of its window that this node has been running.
+    const windowRatio = Math.max(
+      minWindowRatio,
+      1 - 0.5 ** ((now - this.startedAt) / this.options.usualHalfLifeMs),
+    );
     return {
       model,
-      demand: rounded(gauge.demand),
-      usual: rounded(gauge.usual / known),
+      demand: rounded(counters.demand),
+      usual: rounded(counters.usual / windowRatio),
       waiting,
       lastUsed,
     };
   }
 
-  private average(now: number): void {
+  private updateAverages(now: number): void {
     const elapsed = now - this.averagedAt;
     if (elapsed <= 0) return;
     this.averagedAt = now;
-    for (const [model, gauge] of this.gauges) {
+    for (const [model, counters] of this.countersByModel) {
       const serviceMs = this.options.serviceMs(model);
-      const streams = serviceMs > 0 ? (gauge.arrivals * serviceMs) / elapsed : gauge.inFlight;
-      gauge.arrivals = 0;
-      const halfLife = streams > gauge.demand ? this.options.riseMs : this.options.fallMs;
-      gauge.demand = decay(gauge.demand, streams, elapsed, halfLife);
-      gauge.usual = decay(gauge.usual, streams, elapsed, this.options.usualMs);
-      if (gauge.inFlight === 0 && gauge.usual < forgotten && gauge.demand < forgotten)
-        this.gauges.delete(model);
+      const streams = serviceMs > 0 ? (counters.arrivals * serviceMs) / elapsed : counters.inFlight;
+      counters.arrivals = 0;
+      const halfLife = streams > counters.demand ? this.options.riseHalfLifeMs : this.options.fallHalfLifeMs;
+      counters.demand = decay(counters.demand, streams, elapsed, halfLife);
+      counters.usual = decay(counters.usual, streams, elapsed, this.options.usualHalfLifeMs);
+      if (
+        counters.inFlight === 0 &&
+        counters.usual < negligibleStreams &&
+        counters.demand < negligibleStreams
+      )
+        this.countersByModel.delete(model);
     }
   }
 }
@@ -143,10 +150,10 @@
   return to + (from - to) * 0.5 ** (elapsedMs / halfLifeMs);
 }
 
-function differs(reported: ModelDemand | undefined, current: ModelDemand): boolean {
+function changedEnough(reported: ModelDemand | undefined, current: ModelDemand): boolean {
   if (reported?.waiting !== current.waiting || current.waiting > 0) return true;
   const change = Math.abs(current.demand - reported.demand);
-  return change > reportedChange.streams && change > reportedChange.part * reported.demand;
+  return change > reportedChange.streams && change > reportedChange.ratio * reported.demand;
 }
 
 function rounded(value: number): number {
--- a/src/entry/demandReport.ts
+++ b/src/entry/demandReport.ts
@@ -1,16 +1,16 @@
-/** The message by which entry nodes tell the holder of the placement lease what their callers ask for. */
+/** The report in which an entry node sends its callers' demand to the holder of the placement lease. */
 import * as Schema from "effect/Schema";
 
 /** One model's demand at one entry node. */
 export const ModelDemand = Schema.Struct({
   model: Schema.String,
-  /** Streams wanted at once, over the last seconds (running and waiting). */
+  /** Concurrent streams demanded over the last seconds, running and waiting. */
   demand: Schema.Number,
-  /** Streams wanted at once, over the last minutes. */
+  /** Concurrent streams demanded over the last minutes (long-term average). */
   usual: Schema.Number,
-  /** Requests waiting for a first copy, now. */
+  /** Requests currently waiting for a first replica. */
   waiting: Schema.Number,
-  /** When it was last asked for, epoch ms. */
+  /** Time of the last request, epoch ms. */
   lastUsed: Schema.Number,
 });
 /** A decoded model demand. */
@@ -26,9 +26,8 @@
 export type DemandReport = typeof DemandReport.Type;
 
 /**
- * `placement.demand` result: whether the receiver lacks the node's full report (it has just taken over),
- * and the models whose first copy is on its way. A model that is asked for and not among them is not
- * going to be loaded now.
+ * `placement.demand` result: whether the receiver lacks the node's full report (it has just become lease
+ * holder), and the models with a pending load. A requested model that isn't listed won't be loaded now.
  */
 export const DemandReceipt = Schema.Struct({
   wantsFull: Schema.Boolean,
--- a/src/entry/demandReporter.ts
+++ b/src/entry/demandReporter.ts
@@ -9,8 +9,8 @@
 /** Options of a `DemandReporter`. */
 export interface DemandReporterOptions {
   readonly meter: DemandMeter;
-  /** Takes reports while this node holds the lease itself. */
-  readonly receive: (report: DemandReport) => DemandReceipt;
+  /** Handles the report locally while this node holds the lease. */
+  readonly handleReport: (report: DemandReport) => DemandReceipt;
   readonly lease: Lease;
   readonly log: Log;
   readonly everyMs?: number;
@@ -18,10 +18,10 @@
 }
 
 const defaults = { everyMs: 500 };
-/** How long the holder's word on what is coming is relied on, in ms. */
-const receiptMs = 1000;
+/** How long the lease holder's list of pending loads stays valid, in ms. */
+const receiptValidMs = 1000;
 
-/** Reports every period; demand is soft state, so a lost report is made good by the next full one. */
+/** Sends a report every period; demand is soft state, so the next full report makes up for a lost one. */
 export class DemandReporter extends PeriodicTask {
   private receipt: { at: number; coming: ReadonlySet<string> } | undefined;
   private holder: { address: string; rpc: RpcClient } | undefined;
@@ -30,24 +30,25 @@
     super("demand-reporter", options.everyMs ?? defaults.everyMs, options.log);
   }
 
-  /** Whether a first copy of `model` is on its way, by what the lease holder said lately; undefined if not known. */
-  expects(model: string): boolean | undefined {
+  /** Whether a first replica of `model` is pending, by the lease holder's last receipt; undefined if that is out of date. */
+  expectsReplica(model: string): boolean | undefined {
     const { receipt } = this;
-    if (receipt === undefined || Date.now() - receipt.at > receiptMs) return undefined;
+    if (receipt === undefined || Date.now() - receipt.at > receiptValidMs) return undefined;
     return receipt.coming.has(model);
   }
 
   protected async step(): Promise<void> {
-    const { meter, receive, lease } = this.options;
+    const { meter, handleReport, lease } = this.options;
     const report = meter.report();
     if (report === undefined) return;
     try {
-      const receipt = lease.held() ? receive(report) : await this.send(report, lease.holderAddress);
-      if (receipt.wantsFull) meter.reportAll();
+      const receipt = lease.held() ? handleReport(report) : await this.send(report, lease.holderAddress);
+      if (receipt.wantsFull) meter.requestFullReport();
       else this.receipt = { at: Date.now(), coming: new Set(receipt.coming) };
     } catch (error) {
-      // Guards "a new lease holder plans blind": what this report said is lost with it, so the next says all.
-      meter.reportAll();
+      // The changes in this report are lost, so the next report is a full one; otherwise a new lease holder would
+      // plan without them.
+      meter.requestFullReport();
       throw error;
     }
   }
--- a/src/entry/entryNode.ts
+++ b/src/entry/entryNode.ts
@@ -1,6 +1,6 @@
 /**
- * One entry node: a supervisor over its tasks (config watcher, fleet, membership, placer, HTTP server).
- * `drain` is the graceful stop: unadvertise, refuse new work with a retry hint, finish what is in flight.
+ * One entry node: a supervisor over its tasks (config watcher, fleet, membership, placement, HTTP server).
+ * `drain` is the graceful shutdown: stop advertising, reject new requests with a retry hint, finish those in flight.
  */
 import * as http from "node:http";
 import * as Schema from "effect/Schema";
@@ -15,11 +15,11 @@
 import { CompletionProxy } from "./completionProxy.ts";
 import { Completions } from "./completions.ts";
 import { ConfigWatcher } from "./configWatcher.ts";
-import { DemandBoard } from "./demandBoard.ts";
+import { DemandAggregator } from "./demandAggregator.ts";
 import { DemandMeter } from "./demandMeter.ts";
 import { DemandReport, type DemandReceipt } from "./demandReport.ts";
 import { DemandReporter } from "./demandReporter.ts";
-import { HeldRequests, quarantineMethod } from "./heldRequests.ts";
+import { CompletionQuarantine, quarantineMethod } from "./completionQuarantine.ts";
 import { EntryServer } from "./entryServer.ts";
 import { Fleet } from "./fleet.ts";
 import { Lease } from "./lease.ts";
@@ -28,7 +28,7 @@
 import { Membership } from "./membership.ts";
 import { EntryMetrics } from "./metrics.ts";
 import { Peers } from "./peers.ts";
-import { Placer } from "./placer.ts";
+import { PlacementController } from "./placementController.ts";
 import { Quarantine, QuarantineUpdate } from "../serving/quarantine/quarantine.ts";
 import { RetryBudget } from "../serving/retryBudget.ts";
 import { Router } from "./router.ts";
@@ -45,7 +45,7 @@
   readonly platformUrl: string;
   readonly host?: string;
   readonly port?: number;
-  /** Address callers are told to use; defaults to `http://host:port`. */
+  /** Address advertised to callers; defaults to `http://host:port`. */
   readonly advertise?: string;
   readonly pollMs?: number;
   readonly defaultDeadlineMs?: number;
@@ -53,15 +53,15 @@
   readonly drainMs?: number;
   readonly idleTimeoutMs?: number;
   readonly leaseTtlMs?: number;
-  /** Addresses of other entry nodes, asked for the configuration while the platform is out of reach. */
+  /** Addresses of other entry nodes, queried for the configuration while the platform is unreachable. */
   readonly peers?: readonly string[];
   /** Placement policy, from the lookup table in `placement/planners.ts`. */
   readonly placement?: PlacementPolicy;
   /** Routing policy, from the lookup table in `routingPolicies.ts`. */
   readonly routing?: RoutingPolicy;
-  /** Whether requests that cannot be served in time are refused on arrival. */
+  /** Whether requests that cannot be served in time are rejected on arrival. */
   readonly admission?: boolean;
-  /** The weight store's limits, which placement keeps within. */
+  /** The weight store's rate and concurrency limits, which placement observes. */
   readonly loadsPerSecond?: number;
   readonly loadsAtOnce?: number;
 }
@@ -96,8 +96,8 @@
   private readonly platform: PlatformClient;
   private readonly times = new ServiceTimes();
   private readonly meter: DemandMeter;
-  private readonly board = new DemandBoard();
-  private readonly held: HeldRequests;
+  private readonly demandAggregator = new DemandAggregator();
+  private readonly quarantine: CompletionQuarantine;
   private membership: Membership | undefined;
   private server: EntryServer | undefined;
 
@@ -106,7 +106,7 @@
     this.log = createLog(`entry:${options.id}`);
     this.platform = new PlatformClient({ url: options.platformUrl, traffic: this.traffic });
     const peers = new Peers({ addresses: this.options.peers, traffic: this.traffic });
-    this.held = new HeldRequests({ quarantine: new Quarantine(), peers, log: this.log });
+    this.quarantine = new CompletionQuarantine({ quarantine: new Quarantine(), peers, log: this.log });
     this.config = new ConfigWatcher({
       platform: this.platform,
       peers,
@@ -145,9 +145,9 @@
     });
     const placer = this.placer(lease);
     const receive = (report: DemandReport): DemandReceipt => {
-      const wantsFull = this.board.record(report);
+      const wantsFull = this.demandAggregator.record(report);
       if (report.models.some((model) => model.waiting > 0)) placer.plan();
-      return { wantsFull, coming: placer.coming() };
+      return { wantsFull, coming: placer.pendingModels() };
     };
     const reporter = this.reporter(lease, receive);
     this.server = new EntryServer({
@@ -159,7 +159,7 @@
         "config.rows": (params) => Promise.resolve(this.config.rowsSince(decodeParams(Since, params).since)),
         "hosts.known": () => Promise.resolve(this.fleet.known()),
         [quarantineMethod]: (params) => {
-          this.held.hear(decodeParams(QuarantineUpdate, params));
+          this.quarantine.applyUpdate(decodeParams(QuarantineUpdate, params));
           return Promise.resolve({});
         },
         "placement.demand": (params) => Promise.resolve(receive(decodeParams(DemandReport, params))),
@@ -182,7 +182,7 @@
     return this.port;
   }
 
-  /** Graceful stop: unadvertise, refuse new work, wait for in-flight requests (up to `drainMs`), then stop. */
+  /** Graceful shutdown: stops advertising, rejects new requests, waits up to `drainMs` for those in flight, then stops. */
   async drain(): Promise<void> {
     if (this.server !== undefined) this.server.draining = true;
     await this.membership?.drain();
@@ -193,7 +193,7 @@
     await this.dispose();
   }
 
-  /** Stops at once. */
+  /** Stops without draining. */
   async dispose(): Promise<void> {
     await this.store.dispose();
   }
@@ -208,19 +208,19 @@
       times: this.times,
       meter: this.meter,
       retries: new RetryBudget(),
-      held: this.held,
+      quarantine: this.quarantine,
       log: this.log,
       attempts,
-      arrivals: reporter,
+      demandReporter: reporter,
     });
   }
 
-  private placer(lease: Lease): Placer {
+  private placer(lease: Lease): PlacementController {
     const { loadsPerSecond, loadsAtOnce, placement, pollMs } = this.options;
-    return new Placer({
+    return new PlacementController({
       config: this.config,
       fleet: this.fleet,
-      board: this.board,
+      demandAggregator: this.demandAggregator,
       lease,
       budget: new LoadBudget({ loadsPerSecond, loadsAtOnce }),
       planner: planners[placement],
@@ -233,7 +233,7 @@
   private reporter(lease: Lease, receive: (report: DemandReport) => DemandReceipt): DemandReporter {
     return new DemandReporter({
       meter: this.meter,
-      receive,
+      handleReport: receive,
       lease,
       log: this.log,
       everyMs: this.options.pollMs,
--- a/src/entry/entryServer.ts
+++ b/src/entry/entryServer.ts
@@ -1,5 +1,5 @@
 /**
- * The entry node's HTTP face: completions (`/v1/chat/completions`, `/v1/completions`), plain services
+ * The entry node's HTTP API: completions (`/v1/chat/completions`, `/v1/completions`), plain services
  * (`/v1/services/{service}/{call}`), `GET /v1/addresses`, `GET /metrics`. Routes are a lookup table.
  */
 import * as crypto from "node:crypto";
@@ -16,11 +16,11 @@
 import type { EntryMetrics } from "./metrics.ts";
 import type { ServiceCaller } from "./serviceCaller.ts";
 
-/** What the routes use. */
-export interface EntryParts {
+/** Options of an `EntryServer`. */
+export interface EntryServerOptions {
   readonly config: ConfigWatcher;
   readonly completions: Completions;
-  /** Answers the RPCs of other entry nodes. */
+  /** Handles RPCs from other entry nodes. */
   readonly rpc: RpcEndpoint;
   readonly services: ServiceCaller;
   readonly membership: Membership;
@@ -28,20 +28,20 @@
   readonly log: Log;
   /** Default deadline of a request without `x-deadline-ms`, in ms. */
   readonly defaultDeadlineMs: number;
-  /** TTL callers may keep the address list, in seconds. */
+  /** How long callers may cache the address list, in seconds. */
   readonly addressesTtlSeconds: number;
 }
 
 type Route = (req: http.IncomingMessage, res: http.ServerResponse, match: RegExpExecArray) => Promise<void>;
 
-/** Answers callers; tracks requests in flight for a graceful drain. */
+/** Serves callers; tracks requests in flight for a graceful drain. */
 export class EntryServer {
-  /** Requests being answered. */
+  /** Requests being served. */
   inFlight = 0;
   draining = false;
   private readonly routes: readonly (readonly [string, RegExp, Route])[];
 
-  constructor(private readonly parts: EntryParts) {
+  constructor(private readonly options: EntryServerOptions) {
     this.routes = [
       ["POST", /^\/v1\/(chat\/)?completions$/, (req, res) => this.completion(req, res)],
       [
@@ -51,7 +51,7 @@
       ],
       ["GET", /^\/v1\/addresses(\?.*)?$/, (req, res) => this.addresses(req, res)],
       ["GET", /^\/metrics$/, (_req, res) => this.metrics(res)],
-      ["POST", /^\/rpc$/, (req, res) => this.parts.rpc.handle(req, res)],
+      ["POST", /^\/rpc$/, (req, res) => this.options.rpc.handle(req, res)],
       ["GET", /^\/healthz$/, (_req, res) => this.health(res)],
     ];
   }
@@ -85,7 +85,7 @@
     const deadline = started + this.deadlineMs(req);
     const { model } = request;
     try {
-      const engine = await this.parts.completions.serve({
+      const engine = await this.options.completions.serve({
         requestId,
         entitlement,
         request,
@@ -121,7 +121,7 @@
     }
     const body = await readJson(req);
     try {
-      const answer = await this.parts.services.run({
+      const result = await this.options.services.run({
         customer,
         service,
         call,
@@ -131,7 +131,7 @@
         deadline: started + this.deadlineMs(req),
       });
       this.record(customer, `${serviceName}/${callName}`, "ok", null, true, started);
-      sendJson(res, 200, answer);
+      sendJson(res, 200, result);
     } catch (error) {
       const failure = toFailure(error);
       this.record(customer, `${serviceName}/${callName}`, failure.kind, null, false, started);
@@ -141,10 +141,10 @@
 
   private addresses(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const zone = new URL(req.url ?? "/", "http://x").searchParams.get("zone") ?? undefined;
-    const members = this.parts.membership.addresses(zone);
-    res.setHeader("cache-control", `max-age=${this.parts.addressesTtlSeconds}`);
+    const members = this.options.membership.addresses(zone);
+    res.setHeader("cache-control", `max-age=${this.options.addressesTtlSeconds}`);
     sendJson(res, 200, {
-      ttlSeconds: this.parts.addressesTtlSeconds,
+      ttlSeconds: this.options.addressesTtlSeconds,
       addresses: members.map((member) => ({ address: member.address, zone: member.zone })),
     });
     return Promise.resolve();
@@ -156,9 +156,9 @@
   }
 
   private async metrics(res: http.ServerResponse): Promise<void> {
-    this.parts.metrics.configRevision.set(this.parts.config.revision);
-    const text = await this.parts.metrics.registry.metrics();
-    res.writeHead(200, { "content-type": this.parts.metrics.registry.contentType });
+    this.options.metrics.configRevision.set(this.options.config.revision);
+    const text = await this.options.metrics.registry.metrics();
+    res.writeHead(200, { "content-type": this.options.metrics.registry.contentType });
     res.end(text);
   }
 
@@ -166,12 +166,16 @@
     req: http.IncomingMessage,
     requestId: string,
   ): { customer: string; entitlement: Entitlement } {
-    // Guards "a stopping node cuts requests": while draining, new work is refused at once with a retry hint.
+    // While draining, new requests are rejected at once with a retry hint, so that none is interrupted by the shutdown.
     if (this.draining)
-      throw new Failure("draining", "this entry node is stopping; ask /v1/addresses for another", requestId);
+      throw new Failure(
+        "draining",
+        "this entry node is shutting down; see /v1/addresses for another",
+        requestId,
+      );
     const bearer = headerOf(req, "authorization")?.replace(/^Bearer\s+/i, "");
     const customer = headerOf(req, headers.customer) ?? bearer ?? "";
-    const entitlement = this.parts.config.entitlement(customer);
+    const entitlement = this.options.config.entitlement(customer);
     if (entitlement === undefined) {
       throw new Failure("unknown-customer", `no live template names customer "${customer}"`, requestId);
     }
@@ -180,7 +184,7 @@
 
   private deadlineMs(req: http.IncomingMessage): number {
     const asked = Number(headerOf(req, headers.deadlineMs));
-    return Number.isFinite(asked) && asked > 0 ? asked : this.parts.defaultDeadlineMs;
+    return Number.isFinite(asked) && asked > 0 ? asked : this.options.defaultDeadlineMs;
   }
 
   private record(
@@ -191,11 +195,11 @@
     met: boolean,
     started: number,
   ): void {
-    this.parts.metrics.requests.inc({ customer, target, outcome });
-    this.parts.metrics.latency.observe(
+    this.options.metrics.requests.inc({ customer, target, outcome });
+    this.options.metrics.latency.observe(
       { kind: engine === null ? "service" : "completion" },
       (Date.now() - started) / 1000,
     );
-    if (engine !== null) this.parts.metrics.deadlines.inc({ engine, met: String(met) });
+    if (engine !== null) this.options.metrics.deadlines.inc({ engine, met: String(met) });
   }
 }
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The entry node's view of the backend engines: addresses from the host list, state from each engine's
- * own status report. An engine that is leaving (host list) or unreachable is not offered for new work.
+ * The entry node's view of the backend engines: addresses from the host list, state from each engine's own
+ * status report. An engine that is leaving (by the host list or its own report) or unreachable gets no new work.
  */
 import * as Schema from "effect/Schema";
 import * as protocol from "../common/engineProtocol.ts";
@@ -10,44 +10,44 @@
 import { PeriodicTask } from "../common/supervisor.ts";
 import type { Peers } from "./peers.ts";
 
-/** One engine as this entry node sees it. */
+/** One engine as known to this entry node. */
 export interface Engine {
   readonly address: string;
   readonly zone: string;
   readonly rpc: RpcClient;
   status: protocol.EngineStatus | undefined;
-  /** The host list says it is leaving. */
+  /** Marked as leaving in the host list. */
   listedLeaving: boolean;
-  /** The engine itself gave notice to leave, in the boot it is still in. */
-  noticed: boolean;
-  /** Consecutive failed status polls and requests, and when the first of them was, epoch ms. */
+  /** The engine itself reported that it is draining, in its current boot. */
+  reportedDraining: boolean;
+  /** Consecutive failed status polls and requests, and the time of the first of them, epoch ms. */
   failures: number;
   failingSince: number;
   /** Requests this entry node has in flight there. */
   inFlight: number;
-  /** The same when its last report arrived: what the report's load already counts of ours. */
+  /** `inFlight` when the last report arrived: the part of the reported load that came from this node. */
   inFlightAtReport: number;
 }
 
 /**
- * Takes a status an engine gave. Guards "a model is placed twice": the answer to a poll sent before an
- * order may arrive after the order's own and would take back the copy just ordered, so an older
- * revision of the same boot is passed over.
+ * Applies an engine's status. The response to a poll sent before an order may arrive after the order's own
+ * response and would undo the replica just ordered, so that the model would be placed twice; an older
+ * revision of the same boot is therefore ignored.
  */
-export function learnStatus(engine: Engine, status: protocol.EngineStatus): void {
+export function applyStatus(engine: Engine, status: protocol.EngineStatus): void {
   const known = engine.status;
   if (known?.boot === status.boot && known.revision > status.revision) return;
   engine.status = status;
 }
 
-function countFailure(engine: Engine): void {
+function countEngineFailure(engine: Engine): void {
   if (engine.failures === 0) engine.failingSince = Date.now();
   engine.failures += 1;
 }
 
 /**
- * Streams running or queued on an engine: its lagging report plus what this node sent since. Its own
- * streams in the report are not counted twice, and never fewer than it knows of itself.
+ * Streams running or queued on an engine: the load of its last report plus what this node has sent since.
+ * This node's own streams in the report aren't counted twice, and the result is never below its own count.
  */
 export function estimatedLoad(engine: Engine): number {
   const since = engine.inFlight - engine.inFlightAtReport;
@@ -57,20 +57,20 @@
 /** Options of a `Fleet`. */
 export interface FleetOptions {
   readonly platform: PlatformClient;
-  /** Asked while the host list cannot be. */
+  /** Queried while the host list is unavailable. */
   readonly peers?: Peers;
   readonly log: Log;
   readonly pollMs?: number;
-  /** Timeout of one status call, in ms: a silent connection counts as a failure after it. */
+  /** Timeout of one status call, in ms; an unresponsive connection counts as a failure after it. */
   readonly statusTimeoutMs?: number;
-  /** How long an engine may fail before its copies count as lost, in ms. */
-  readonly lostMs?: number;
+  /** How long an engine may be failing before its replicas count as lost, in ms. */
+  readonly lostAfterMs?: number;
   /** Where status polls are counted. */
   readonly traffic?: RpcTraffic;
 }
 
-const defaults = { pollMs: 500, statusTimeoutMs: 1000, lostMs: 3000 };
-/** Failed polls after which an engine is taken out of routing. */
+const defaults = { pollMs: 500, statusTimeoutMs: 1000, lostAfterMs: 3000 };
+/** Consecutive failures after which an engine is ejected from routing. */
 const failuresToEject = 2;
 
 /** Keeps engines' statuses fresh; owns one RPC client per engine. */
@@ -83,20 +83,20 @@
     this.options = { ...defaults, ...options };
   }
 
-  /** Engines that may take new work: reachable and not leaving. */
+  /** Engines that may get new requests: reachable and not leaving. */
   usable(): Engine[] {
-    return this.staying().filter((engine) => engine.failures < failuresToEject);
+    return this.notLeaving().filter((engine) => engine.failures < failuresToEject);
   }
 
   /**
-   * Engines whose copies placement counts on: those usable, and those that have failed only for a moment.
-   * Guards "a hiccup sets off a wave of moves": an engine not heard from for two polls most likely still
-   * has its models; placing them elsewhere at once pushes out others' models for nothing.
+   * Engines whose replicas placement counts: the usable ones, and those failing for less than `lostAfterMs`. An
+   * engine that missed two polls most likely still has its models; placing them elsewhere at once would
+   * evict other models for a transient failure.
    */
   present(): Engine[] {
-    const horizon = Date.now() - this.options.lostMs;
-    return this.staying().filter(
-      (engine) => engine.failures < failuresToEject || engine.failingSince > horizon,
+    const failingCutoff = Date.now() - this.options.lostAfterMs;
+    return this.notLeaving().filter(
+      (engine) => engine.failures < failuresToEject || engine.failingSince > failingCutoff,
     );
   }
 
@@ -105,7 +105,7 @@
     return [...this.engines.values()];
   }
 
-  /** The engine hosts known, for a peer that cannot reach the host list. */
+  /** The known engine hosts, for a peer that cannot reach the host list. */
   known(): Host[] {
     return this.all().map(({ address, zone, listedLeaving }) => ({
       address,
@@ -115,32 +115,32 @@
     }));
   }
 
-  /** Marks an engine leaving at once (its own drain notice, or a failed request), before the host list says so. */
+  /** Marks an engine as leaving at once (it rejected a request as draining), before the host list shows it. */
   markLeaving(address: string): void {
     const engine = this.engines.get(address);
-    if (engine !== undefined) engine.noticed = true;
+    if (engine !== undefined) engine.reportedDraining = true;
   }
 
   /**
-   * A request to the engine broke. Guards "requests keep going to a dead engine until the next polls":
-   * broken requests count like failed polls, and the next good poll clears them.
+   * Records a failed request to the engine. Failed requests count like failed polls, so that a dead engine gets
+   * no more requests before the next polls; the next successful poll clears them.
    */
-  noteFailure(address: string): void {
+  recordFailure(address: string): void {
     const engine = this.engines.get(address);
-    if (engine !== undefined) countFailure(engine);
+    if (engine !== undefined) countEngineFailure(engine);
   }
 
   /**
-   * The engine cut an answer off, so its process may have ended. It gets nothing until it reports again: what is known of
-   * it, its boot above all, is of the process before.
+   * Records a connection that the engine closed before the response was complete, as its process may have crashed.
+   * It gets no requests until it reports again: its last status, above all its boot id, may be of the previous process.
    */
-  noteCut(address: string): void {
+  recordConnectionLoss(address: string): void {
     const engine = this.engines.get(address);
-    while (engine !== undefined && engine.failures < failuresToEject) countFailure(engine);
+    while (engine !== undefined && engine.failures < failuresToEject) countEngineFailure(engine);
   }
 
-  /** An engine says it no longer has `model`; not routed there again until it reports so. */
-  forgetCopy(address: string, model: string): void {
+  /** Records that an engine no longer has `model`; requests for it aren't routed there until the engine reports it again. */
+  forgetReplica(address: string, model: string): void {
     const engine = this.engines.get(address);
     if (engine?.status === undefined) return;
     const residents = engine.status.residents.filter((resident) => resident.model !== model);
@@ -154,13 +154,13 @@
   }
 
   /** Engines that have reported and are not leaving, failing ones included. */
-  private staying(): Engine[] {
+  private notLeaving(): Engine[] {
     return this.all().filter(
-      (engine) => !engine.listedLeaving && !engine.noticed && engine.status !== undefined,
+      (engine) => !engine.listedLeaving && !engine.reportedDraining && engine.status !== undefined,
     );
   }
 
-  /** The host list; a peer's copy of it if this node knows no host yet; undefined to keep what is known. */
+  /** The host list; if unavailable and no host is known yet, a peer's; undefined to keep the known hosts. */
   private async hosts(): Promise<readonly Host[] | undefined> {
     const { platform, peers, log } = this.options;
     try {
@@ -168,7 +168,7 @@
     } catch (error) {
       log.warn({ event: "host-list-unavailable", error: String(error) });
       if (peers === undefined || this.engines.size > 0) return undefined;
-      return peers.ask("hosts.known", {}, Schema.Array(Host)).catch(() => undefined);
+      return peers.callAny("hosts.known", {}, Schema.Array(Host)).catch(() => undefined);
     }
   }
 
@@ -193,7 +193,7 @@
         }),
         status: undefined,
         listedLeaving: host.state === "leaving",
-        noticed: false,
+        reportedDraining: false,
         failures: 0,
         failingSince: 0,
         inFlight: 0,
@@ -212,16 +212,16 @@
     try {
       const report = await this.report(engine);
       const restarted = report.status !== undefined && report.status.boot !== engine.status?.boot;
-      if (report.status !== undefined) learnStatus(engine, report.status);
+      if (report.status !== undefined) applyStatus(engine, report.status);
       if (engine.status !== undefined) engine.status = { ...engine.status, load: report.load };
-      // Guards "a leaving server keeps getting work": the host list lags by seconds, the engine's own
-      // drain notice is seen on the next poll (pollMs), so routing stops well inside the 3 s bound.
-      // Guards "a restarted server gets no work ever again": notice given ends with the boot that gave it.
-      engine.noticed = report.draining || (engine.noticed && !restarted);
+      // The host list lags by seconds, but the engine's own drain notice arrives with the next poll (pollMs), so
+      // routing to a leaving engine stops well within the 3 s bound. The notice is valid only for the boot that
+      // gave it; otherwise a restarted engine would never get requests again.
+      engine.reportedDraining = report.draining || (engine.reportedDraining && !restarted);
       engine.failures = 0;
       engine.inFlightAtReport = engine.inFlight;
     } catch {
-      countFailure(engine);
+      countEngineFailure(engine);
     }
   }
 }
--- a/src/entry/lease.ts
+++ b/src/entry/lease.ts
@@ -1,6 +1,6 @@
 /**
- * A lease held through a row of the table service. Its row version is the fencing number: every renewal
- * raises it, so an order from a holder that was paused past its lease carries a number engines refuse.
+ * A lease held through a row of the table service. The row version is the fencing number: every renewal
+ * raises it, so engines reject an order from a holder that was suspended past the end of its lease.
  */
 import * as Schema from "effect/Schema";
 import type { PlatformClient } from "../common/platformClient.ts";
@@ -8,7 +8,7 @@
 const LeaseValue = Schema.Struct({
   holder: Schema.String,
   expiresAt: Schema.Number,
-  /** Where the holder answers RPCs of other entry nodes. */
+  /** Address at which the holder serves RPCs of other entry nodes. */
   address: Schema.optionalKey(Schema.String),
 });
 
@@ -17,15 +17,15 @@
   readonly platform: PlatformClient;
   readonly key: string;
   readonly holder: string;
-  /** Where this holder answers RPCs; told to the others through the lease row. */
+  /** Address at which this holder serves RPCs; published in the lease row. */
   readonly address?: string;
   /** Lease duration in ms. */
   readonly ttlMs?: number;
 }
 
 const defaults = { ttlMs: 3000 };
-/** Part of the lease kept as a safety margin against clock drift between holder and table service. */
-const marginRatio = 0.2;
+/** Fraction of the lease kept as a safety margin against clock drift between holder and table service. */
+const safetyMarginRatio = 0.2;
 
 /** Acquires and renews one lease; `fencing` is valid only while `held()` is true. */
 export class Lease {
@@ -40,19 +40,19 @@
     this.ttlMs = options.ttlMs ?? defaults.ttlMs;
   }
 
-  /** Whether this holder may act now, by its own clock with a margin. */
+  /** Whether this holder may act now, by its own clock with the safety margin. */
   held(): boolean {
-    return Date.now() < this.expiresAt - this.ttlMs * marginRatio;
+    return Date.now() < this.expiresAt - this.ttlMs * safetyMarginRatio;
   }
 
-  /** Takes the lease if free or expired, or renews it if ours; returns whether it is held after. */
+  /** Acquires the lease if it is free or expired, or renews it if this holder has it; returns whether it is held. */
   async renew(): Promise<boolean> {
     const now = Date.now();
     const row = await this.options.platform.get(this.options.key);
     const current = row === null ? undefined : Schema.decodeUnknownOption(LeaseValue)(row.value);
     this.holderAddress = current?._tag === "Some" ? current.value.address : undefined;
-    const theirs = current?._tag === "Some" && current.value.holder !== this.options.holder;
-    if (theirs && current.value.expiresAt > now) {
+    const heldByOther = current?._tag === "Some" && current.value.holder !== this.options.holder;
+    if (heldByOther && current.value.expiresAt > now) {
       this.expiresAt = 0;
       return false;
     }
@@ -66,14 +66,14 @@
       this.expiresAt = now + this.ttlMs;
       this.holderAddress = address;
     } catch (error) {
-      // Outcome unknown or lost race: act as not holding until a renewal is confirmed.
+      // Outcome unknown or race lost: treat the lease as not held until a renewal is confirmed.
       this.expiresAt = 0;
       throw error;
     }
     return true;
   }
 
-  /** Gives the lease up locally (the row expires by itself). */
+  /** Releases the lease locally; the row expires by itself. */
   release(): void {
     this.expiresAt = 0;
   }
--- a/src/entry/ledger.ts
+++ b/src/entry/ledger.ts
@@ -1,6 +1,6 @@
 /**
  * The idempotency ledger: a non-idempotent call is recorded in the table service before it is dispatched,
- * so a retried key gets the first answer (or "in progress") and never a second run.
+ * so a retry with the same key gets the first response (or "in progress") and never a second execution.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import * as Schema from "effect/Schema";
@@ -17,21 +17,21 @@
 });
 type Entry = typeof Entry.Type;
 
-/** Time past a claim's deadline before its owner is taken to be gone, in ms (covers clock skew between nodes). */
+/** Time past a claim's deadline after which its owner counts as gone, in ms; covers clock skew between nodes. */
 const deadlineGraceMs = 250;
 
 /** Options of a `Ledger`. */
 export interface LedgerOptions {
   readonly platform: PlatformClient;
-  /** Pause between tries to take back a claim that was given up, in ms, and how many tries. */
-  readonly takeBackMs?: number;
-  readonly takeBackTries?: number;
+  /** Pause between attempts to revoke an abandoned claim, in ms, and the number of attempts. */
+  readonly revokeRetryMs?: number;
+  readonly revokeAttempts?: number;
 }
 
-const defaults = { takeBackMs: 1000, takeBackTries: 900 };
+const defaults = { revokeRetryMs: 1000, revokeAttempts: 900 };
 
-/** The outcome of `begin`: run it now (`claim`, holding the row version), or answer from the ledger. */
-export type Begin =
+/** Result of `claim`: run the call now (`claim`, with the row version), or respond from the ledger. */
+export type ClaimResult =
   | { readonly kind: "claim"; readonly version: number }
   | { readonly kind: "done"; readonly answer: unknown }
   | { readonly kind: "in-progress"; readonly requestId: string }
@@ -48,17 +48,17 @@
     this.platform = options.platform;
   }
 
-  /** Stops taking back claims in the background. */
+  /** Stops revoking claims in the background. */
   dispose(): void {
     this.disposed = true;
   }
 
   /**
-   * Claims the key for `requestId`. Throws `not-run` when the table service cannot be reached and the
-   * claim is not known to have been written: nothing was dispatched, so "not run" is true.
+   * Claims the key for `requestId`. Throws `not-run` if the table service is unreachable and the claim isn't
+   * known to have been written: nothing was dispatched, so the call certainly didn't run.
    */
-  async begin(customer: string, key: string, requestId: string, deadline: number): Promise<Begin> {
-    const rowKey = keyOf(customer, key);
+  async claim(customer: string, key: string, requestId: string, deadline: number): Promise<ClaimResult> {
+    const rowKey = rowKeyOf(customer, key);
     try {
       const result = await this.platform.commit([
         { key: rowKey, value: { ...entry("started", requestId), deadline }, expectVersion: 0 },
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Records the answer of a claimed key. Best effort: on failure the row stays `started`, so no rerun. */
+  /** Records the response of a claimed key. Best effort: on failure the row stays `started`, so the call isn't rerun. */
   async finish(
     customer: string,
     key: string,
@@ -82,7 +82,7 @@
     await this.write(customer, key, { state: "done", requestId, answer }, version);
   }
 
-  /** Records that a claimed call was provably not run, so a retry may claim it again. */
+  /** Records that a claimed call certainly did not run, so a retry may claim it again. */
   async release(customer: string, key: string, requestId: string, version: number): Promise<void> {
     await this.write(customer, key, entry("not-run", requestId), version);
   }
@@ -94,36 +94,36 @@
 
   private async write(customer: string, key: string, value: Entry, version: number): Promise<void> {
     try {
-      await this.platform.commit([{ key: keyOf(customer, key), value, expectVersion: version }]);
+      await this.platform.commit([{ key: rowKeyOf(customer, key), value, expectVersion: version }]);
     } catch {
-      // The row keeps its earlier state; a retry is answered from it and never runs twice.
+      // The row keeps its earlier state; a retry gets its response from it and never runs twice.
     }
   }
 
-  private async afterFailedClaim(rowKey: string, requestId: string, deadline: number): Promise<Begin> {
+  private async afterFailedClaim(rowKey: string, requestId: string, deadline: number): Promise<ClaimResult> {
     let row: Row | null;
     try {
       row = await this.platform.get(rowKey);
     } catch {
-      void this.takeBack(rowKey, requestId);
+      void this.revokeClaim(rowKey, requestId);
       throw new Failure("not-run", "the idempotency ledger is unreachable; nothing was run", requestId);
     }
     if (row === null) {
-      void this.takeBack(rowKey, requestId);
+      void this.revokeClaim(rowKey, requestId);
       throw new Failure("not-run", "the idempotency claim was not recorded; nothing was run", requestId);
     }
-    const held = Schema.decodeUnknownSync(Entry)(row.value);
-    // Guards "lost acknowledgement runs twice": a claim whose answer was lost is found here as our own.
-    if (held.state === "started" && held.requestId === requestId)
+    const stored = Schema.decodeUnknownSync(Entry)(row.value);
+    // A claim whose acknowledgement was lost is found here under this request's own id.
+    if (stored.state === "started" && stored.requestId === requestId)
       return { kind: "claim", version: row.version };
-    // Guards "in progress forever": the owner of a claim past its deadline has finished or died without
-    // recording it, so whether the call ran is unknown; saying so lets the caller check instead of wait.
-    if (held.state === "started" && (held.deadline ?? 0) + deadlineGraceMs < Date.now()) {
-      return { kind: "unknown", requestId: held.requestId };
+    // The owner of a claim past its deadline finished or died without recording the outcome, so whether the call
+    // ran is unknown; reporting that instead of "in progress" lets the caller check rather than wait forever.
+    if (stored.state === "started" && (stored.deadline ?? 0) + deadlineGraceMs < Date.now()) {
+      return { kind: "unknown", requestId: stored.requestId };
     }
-    if (held.state === "started") return { kind: "in-progress", requestId: held.requestId };
-    if (held.state === "unknown") return { kind: "unknown", requestId: held.requestId };
-    if (held.state === "done") return { kind: "done", answer: held.answer };
+    if (stored.state === "started") return { kind: "in-progress", requestId: stored.requestId };
+    if (stored.state === "unknown") return { kind: "unknown", requestId: stored.requestId };
+    if (stored.state === "done") return { kind: "done", answer: stored.answer };
     return this.reclaim(rowKey, requestId, row.version, deadline);
   }
 
@@ -132,37 +132,37 @@
     requestId: string,
     version: number,
     deadline: number,
-  ): Promise<Begin> {
+  ): Promise<ClaimResult> {
     try {
       const result = await this.platform.commit([
         { key: rowKey, value: { ...entry("started", requestId), deadline }, expectVersion: version },
       ]);
       return { kind: "claim", version: result.rows[0]?.version ?? version + 1 };
     } catch {
-      void this.takeBack(rowKey, requestId);
+      void this.revokeClaim(rowKey, requestId);
       throw new Failure("not-run", "could not claim the idempotency key again; nothing was run", requestId);
     }
   }
 
   /**
-   * Takes back a claim whose outcome was not known when its caller was told "not run". Guards "a
-   * reservation can never be made": the claim may have landed all the same, or land yet, and with nobody
-   * running it every retry would be told "in progress" and then "outcome unknown" for ever. Only this
-   * node knows that it was not dispatched, so it marks the row once it finds its own claim there.
+   * Revokes a claim whose write had an unknown outcome when its caller got `not-run`. The claim may have been
+   * written all the same, or may still be; with nobody running it, every retry would get "in progress" and then
+   * "outcome unknown" forever. Only this node knows that the call wasn't dispatched, so it marks the row as
+   * not run once it finds its own claim there.
    */
-  private async takeBack(rowKey: string, requestId: string): Promise<void> {
-    for (let attempt = 0; attempt < this.options.takeBackTries && !this.disposed; attempt += 1) {
-      await sleep(this.options.takeBackMs, undefined, { ref: false });
+  private async revokeClaim(rowKey: string, requestId: string): Promise<void> {
+    for (let attempt = 0; attempt < this.options.revokeAttempts && !this.disposed; attempt += 1) {
+      await sleep(this.options.revokeRetryMs, undefined, { ref: false });
       try {
         const row = await this.platform.get(rowKey);
         if (row === null) continue;
-        const held = Schema.decodeUnknownSync(Entry)(row.value);
-        if (held.state !== "started" || held.requestId !== requestId) return;
+        const stored = Schema.decodeUnknownSync(Entry)(row.value);
+        if (stored.state !== "started" || stored.requestId !== requestId) return;
         const value = entry("not-run", requestId);
         await this.platform.commit([{ key: rowKey, value, expectVersion: row.version }]);
         return;
       } catch {
-        // The store is still out of reach, or the row has just changed: look again.
+        // The store is still unreachable, or the row has just changed: retry.
       }
     }
   }
@@ -172,6 +172,6 @@
   return { state, requestId };
 }
 
-function keyOf(customer: string, key: string): string {
+function rowKeyOf(customer: string, key: string): string {
   return `idempotency/${customer}/${encodeURIComponent(key)}`;
 }
--- a/src/entry/loadBudget.ts
+++ b/src/entry/loadBudget.ts
@@ -1,4 +1,4 @@
-/** Keeps placement within the weight store's limits: loads started per second, and loads at once. */
+/** Keeps placement within the weight store's limits: loads started per second, and concurrent loads. */
 
 import { TokenBucket } from "../common/tokenBucket.ts";
 
@@ -10,7 +10,7 @@
 
 const defaults = { loadsPerSecond: 1, loadsAtOnce: 5 };
 
-/** A token bucket of loads, as deep as the loads allowed at once. */
+/** A token bucket of loads; its capacity is the number of concurrent loads allowed. */
 export class LoadBudget {
   private readonly options: Required<LoadBudgetOptions>;
   private readonly tokens: TokenBucket;
@@ -21,7 +21,7 @@
     this.tokens = new TokenBucket(this.options.loadsAtOnce);
   }
 
-  /** Loads that may start now, with `running` on their way. */
+  /** Loads that may start now, with `running` already in progress. */
   available(running: number): number {
     const now = Date.now();
     this.tokens.add(((now - this.refilledAt) / 1000) * this.options.loadsPerSecond);
--- a/src/entry/membership.ts
+++ b/src/entry/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Entry-node membership through the table service: each node heartbeats a row `entries/<id>`; callers
- * ask any node for the fresh list (`GET /v1/addresses`), since no balancer stands in front of them.
+ * Entry-node membership through the table service: each node heartbeats a row `entries/<id>`. Callers get
+ * the current list from any node (`GET /v1/addresses`), as there is no load balancer in front of the nodes.
  */
 import * as Schema from "effect/Schema";
 import type { Log } from "../common/log.ts";
@@ -30,7 +30,7 @@
 const defaults = { heartbeatMs: 1000, staleMs: 5000 };
 const prefix = "entries/";
 
-/** Heartbeats this node and caches the others. */
+/** Sends this node's heartbeats and caches the other members. */
 export class Membership extends PeriodicTask {
   private members: Member[] = [];
   private scannedAt = 0;
@@ -42,27 +42,27 @@
     this.options = { ...defaults, ...options };
   }
 
-  /** Stops advertising this node: removes its row so callers stop being sent here. */
+  /** Stops advertising this node: removes its row so that no new callers are sent here. */
   async drain(): Promise<void> {
     this.draining = true;
     await super.dispose();
     try {
       await this.options.platform.commit([{ key: prefix + this.options.self.id, value: null }]);
     } catch (error) {
-      // The row then ages out after `staleMs`.
+      // The row then expires after `staleMs`.
       this.options.log.warn({ event: "drain-unadvertise-failed", error: String(error) });
     }
   }
 
-  /** Fresh members, the caller's zone first; a draining node leaves itself out. */
+  /** Live members, those in the caller's zone first; a draining node excludes itself. */
   addresses(zone: string | undefined): Member[] {
-    // Guards "callers are told of no entry node": while the store is down nobody's heartbeat is renewed,
-    // and by the clock every node would go stale. Who was alive at the last good scan stays listed.
-    const horizon = this.scannedAt - this.options.staleMs;
+    // Staleness is measured against the last successful scan, not the current time: while the store is
+    // unavailable no heartbeat is renewed, and every node would otherwise go stale and callers get no address.
+    const oldestListed = this.scannedAt - this.options.staleMs;
     const self = { ...this.options.self, at: Date.now() };
     const others = this.members.filter((member) => member.id !== self.id);
     return [self, ...others]
-      .filter((member) => member.at >= horizon)
+      .filter((member) => member.at >= oldestListed)
       .filter((member) => !(this.draining && member.id === this.options.self.id))
       .sort((a, b) => Number(b.zone === zone) - Number(a.zone === zone) || a.id.localeCompare(b.id));
   }
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -1,4 +1,4 @@
-/** The entry node's metrics (prom-client), in a registry of its own so several nodes can share a process. */
+/** The entry node's metrics (prom-client), in their own registry so that several nodes can share a process. */
 import * as prom from "prom-client";
 
 /** Counters and histograms of one entry node. */
@@ -11,7 +11,7 @@
     labelNames: ["customer", "target", "outcome"],
     registers: [this.registry],
   });
-  /** Completions within / past their deadline, per engine (accelerator); refused or failed ones under "none". */
+  /** Completions within or past their deadline, per engine (accelerator); rejected or failed ones under "none". */
   readonly deadlines = new prom.Counter({
     name: "parsleynotch_deadline_total",
     help: "Completions by engine (none: refused or failed) and whether they met their deadline",
@@ -33,7 +33,7 @@
     buckets: [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10],
     registers: [this.registry],
   });
-  /** The table revision this node's configuration is at. */
+  /** Table revision of this node's configuration. */
   readonly configRevision = new prom.Gauge({
     name: "parsleynotch_config_revision",
     help: "Table revision up to which configuration is applied",
--- a/src/entry/placer.ts
+++ b/src/entry/placementController.ts
@@ -1,96 +1,98 @@
 /**
- * The placement loop: the holder of the placement lease plans from what engines report and what entry
- * nodes measure, and orders loads and unloads, each with its fencing number. It reconciles: every round
- * starts from the engines' own reports, so an order that was lost or came late is simply planned again.
+ * The placement control loop: the holder of the placement lease plans from the engines' reports and the entry
+ * nodes' measured demand, and sends load and unload orders, each with its fencing number. Every round
+ * reconciles against the engines' own reports, so an order that was lost or executed late is planned again.
  */
 import * as protocol from "../common/engineProtocol.ts";
 import { toFailure } from "../common/errors.ts";
 import type { Log } from "../common/log.ts";
 import { PeriodicTask } from "../common/supervisor.ts";
-import type { Accelerator, Copy, Load, Need, Planner, Unload } from "../placement/snapshot.ts";
+import type { Accelerator, Replica, Load, Need, Planner, Unload } from "../placement/snapshot.ts";
 import type { ConfigWatcher } from "./configWatcher.ts";
-import type { DemandBoard } from "./demandBoard.ts";
-import { learnStatus, type Engine, type Fleet } from "./fleet.ts";
+import type { DemandAggregator } from "./demandAggregator.ts";
+import { applyStatus, type Engine, type Fleet } from "./fleet.ts";
 import type { Lease } from "./lease.ts";
 import type { LoadBudget } from "./loadBudget.ts";
 import type { EntryMetrics } from "./metrics.ts";
 import { needsOf, type PlacedModel } from "./needs.ts";
 
 /** Options of a `Placer`. */
-export interface PlacerOptions {
+export interface PlacementControllerOptions {
   readonly config: ConfigWatcher;
   readonly fleet: Fleet;
-  readonly board: DemandBoard;
+  readonly demandAggregator: DemandAggregator;
   readonly lease: Lease;
   readonly budget: LoadBudget;
   readonly planner: Planner;
   readonly metrics: EntryMetrics;
   readonly log: Log;
   readonly everyMs?: number;
-  /** How long an engine that failed an order is passed over for new loads, in ms. */
+  /** How long an engine that failed an order gets no new loads, in ms. */
   readonly orderBackoffMs?: number;
-  /** How long a planned copy may wait for its room (streams of the evicted model end first), in ms. */
-  readonly planMs?: number;
+  /** How long a planned replica may wait for free memory (streams of the evicted model end first), in ms. */
+  readonly planTimeoutMs?: number;
 }
 
-const defaults = { everyMs: 500, orderBackoffMs: 5000, planMs: 15_000 };
+const defaults = { everyMs: 500, orderBackoffMs: 5000, planTimeoutMs: 15_000 };
 
-/** A copy planned and not yet reported by its engine. */
-interface Planned {
+/** A replica that is planned and not yet reported by its engine. */
+interface PendingLoad {
   readonly engine: string;
   readonly need: Need;
-  /** Copies that make room for it. */
+  /** Replicas evicted to free memory for it. */
   readonly evict: readonly Unload[];
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-/** The placement task: lease, plan, orders. */
-export class Placer extends PeriodicTask {
-  private readonly options: PlacerOptions & typeof defaults;
-  /** Engines passed over for loads until the given epoch ms, after a failed order. */
+/** The placement task: renews the lease, plans, and sends orders. */
+export class PlacementController extends PeriodicTask {
+  private readonly options: PlacementControllerOptions & typeof defaults;
+  /** Engines that get no loads until the given time (epoch ms), after a failed order. */
   private readonly avoidUntil = new Map<string, number>();
-  private planned: Planned[] = [];
-  /** Orders under way, by engine and model. */
-  private readonly ordering = new Set<string>();
-  /** Since when each model is asked for without any copy, epoch ms. */
+  private pendingLoads: PendingLoad[] = [];
+  /** Orders in flight, by engine and model. */
+  private readonly ordersInFlight = new Set<string>();
+  /** Since when each model has been requested without having any replica, epoch ms. */
   private unmetSince = new Map<string, number>();
-  /** When each copy (engine, model, version) was first seen. */
-  private seen = new Map<string, number>();
+  /** When each replica (engine, model, version) was first seen. */
+  private firstSeen = new Map<string, number>();
 
-  constructor(options: PlacerOptions) {
+  constructor(options: PlacementControllerOptions) {
     super("placer", options.everyMs ?? defaults.everyMs, options.log);
     this.options = { ...defaults, ...options };
   }
 
-  /** Models with a copy planned or loading. */
-  coming(): string[] {
+  /** Models with a planned or loading replica. */
+  pendingModels(): string[] {
     const loading = this.options.fleet
       .usable()
       .flatMap((engine) => engine.status?.residents ?? [])
       .filter((resident) => resident.state === "loading")
       .map((resident) => resident.model);
-    return [...new Set([...loading, ...this.planned.map((plan) => plan.need.model)])];
+    return [...new Set([...loading, ...this.pendingLoads.map((plan) => plan.need.model)])];
   }
 
-  /** Stops placing and gives up the lease locally. */
+  /** Stops placement and releases the lease locally. */
   override async dispose(): Promise<void> {
     await super.dispose();
     this.options.lease.release();
   }
 
   /**
-   * Plans from what is known now and sends the orders, without waiting for their answers. Does nothing
-   * unless the lease is held. A report of demand is planned for at once, so its sender can be told
-   * which models are coming.
+   * Plans from the current state and sends the orders without waiting for their responses. Does nothing unless
+   * the lease is held. Runs at once on a demand report with waiting requests, so that the response can list the
+   * models with a pending load.
    */
   plan(): void {
-    const { lease, budget, planner, config, board } = this.options;
+    const { lease, budget, planner, config, demandAggregator } = this.options;
     if (!lease.held()) return;
-    const models = needsOf(config.live(), board.totals());
-    this.noteUnmet(models);
-    this.advance(models);
+    const models = needsOf(config.live(), demandAggregator.totals());
+    this.recordUnmetDemand(models);
+    this.sendDueOrders(models);
     const accelerators = this.accelerators();
-    const running = accelerators.flatMap((a) => a.copies).filter((copy) => copy.state === "loading").length;
+    const running = accelerators
+      .flatMap((a) => a.residents)
+      .filter((replica) => replica.state === "loading").length;
     const moves = planner({
       now: Date.now(),
       accelerators,
@@ -98,89 +100,94 @@
         ...need,
         unmetSince: this.unmetSince.get(need.model) ?? 0,
       })),
-      loads: budget.available(running + this.planned.length),
+      loads: budget.available(running + this.pendingLoads.length),
     });
     for (const move of moves) {
-      if (move.kind === "unload") this.order(move, () => this.unload(move));
-      else this.adopt(move);
+      if (move.kind === "unload") this.sendOrder(move, () => this.unload(move));
+      else this.addPendingLoad(move);
     }
-    this.advance(models);
+    this.sendDueOrders(models);
   }
 
   protected async step(): Promise<void> {
     if (!(await this.options.lease.renew())) {
-      this.planned = [];
+      this.pendingLoads = [];
       return;
     }
     await this.options.fleet.refresh();
     this.plan();
   }
 
-  /** Takes every planned copy a step further: out with what is in its place, then in with it. */
-  private advance(models: ReadonlyMap<string, PlacedModel>): void {
+  /** Sends the orders that are due: evictions for pending loads, then the loads whose memory is free. */
+  private sendDueOrders(models: ReadonlyMap<string, PlacedModel>): void {
     this.dropFinished();
-    for (const evicted of this.dueEvictions()) this.order(evicted, () => this.unload(evicted));
+    for (const evicted of this.dueEvictions()) this.sendOrder(evicted, () => this.unload(evicted));
     for (const { engine, model } of this.dueLoads(models))
-      this.order({ address: engine.address, model: model.spec.name }, () => this.load(engine, model));
+      this.sendOrder({ address: engine.address, model: model.spec.name }, () => this.load(engine, model));
   }
 
-  /** Sends an order unless the same is under way; once it is answered, planned copies go on. */
-  private order(target: { address: string; model: string }, send: () => Promise<void>): void {
+  /** Sends an order unless one for the same engine and model is in flight; on its response, sends the orders then due. */
+  private sendOrder(target: { address: string; model: string }, send: () => Promise<void>): void {
     const key = `${target.address} ${target.model}`;
-    if (this.ordering.has(key)) return;
-    this.ordering.add(key);
+    if (this.ordersInFlight.has(key)) return;
+    this.ordersInFlight.add(key);
     void send().finally(() => {
-      this.ordering.delete(key);
+      this.ordersInFlight.delete(key);
       if (this.options.lease.held())
-        this.advance(needsOf(this.options.config.live(), this.options.board.totals()));
+        this.sendDueOrders(needsOf(this.options.config.live(), this.options.demandAggregator.totals()));
     });
   }
 
-  private noteUnmet(models: ReadonlyMap<string, PlacedModel>): void {
+  private recordUnmetDemand(models: ReadonlyMap<string, PlacedModel>): void {
     const now = Date.now();
-    const held = new Set(
+    const placed = new Set(
       this.options.fleet.present().flatMap((engine) => engine.status?.residents.map((r) => r.model) ?? []),
     );
     const unmet = [...models.values()]
-      .filter(({ need }) => !held.has(need.model) && (need.waiting > 0 || need.demand > 0))
+      .filter(({ need }) => !placed.has(need.model) && (need.waiting > 0 || need.demand > 0))
       .map(({ need }) => [need.model, this.unmetSince.get(need.model) ?? now] as const);
     this.unmetSince = new Map(unmet);
   }
 
-  /** The engines' accelerators as last reported, with the copies planned for them. */
+  /** The engines' accelerators as last reported, plus the replicas planned for them. */
   private accelerators(): Accelerator[] {
     const now = Date.now();
     const seen = new Map<string, number>();
     const usable = new Set(this.options.fleet.usable());
     const accelerators = this.options.fleet.present().flatMap((engine) => {
       if (engine.status === undefined) return [];
-      const copies = engine.status.residents.map((resident): Copy => {
+      const replicas = engine.status.residents.map((resident): Replica => {
         const key = `${engine.address} ${resident.model} ${resident.version}`;
-        const since = this.seen.get(key) ?? now;
+        const since = this.firstSeen.get(key) ?? now;
         seen.set(key, since);
         return { ...resident, since };
       });
-      const planned = this.planned
+      const planned = this.pendingLoads
         .filter((plan) => plan.engine === engine.address)
-        .map(({ need }): Copy => ({ ...need, state: "planned", since: now }));
+        .map(({ need }): Replica => ({ ...need, state: "planned", since: now }));
       return [
         {
           address: engine.address,
           capacityMb: engine.status.capacityMb,
           slots: engine.status.slots,
           loadable: usable.has(engine) && (this.avoidUntil.get(engine.address) ?? 0) <= now,
-          copies: [...copies, ...planned],
+          residents: [...replicas, ...planned],
         },
       ];
     });
-    this.seen = seen;
+    this.firstSeen = seen;
     return accelerators;
   }
 
-  private adopt(move: Load): void {
+  private addPendingLoad(move: Load): void {
     const { need, address, reason, evict } = move;
     this.options.budget.take();
-    this.planned.push({ engine: address, need, evict, until: Date.now() + this.options.planMs });
+    this.pendingLoads.push({
+      engine: address,
+      need,
+      evict,
+      expiresAt: Date.now() + this.options.planTimeoutMs,
+    });
     this.options.log.info({
       event: "place",
       model: need.model,
@@ -195,9 +202,9 @@
     });
   }
 
-  /** Copies in the place of planned ones, until their engine reports them on their way out. */
+  /** Replicas to evict for pending loads whose engine doesn't report them as unloading yet. */
   private dueEvictions(): Unload[] {
-    return this.planned
+    return this.pendingLoads
       .flatMap((plan) => plan.evict)
       .filter((evicted) =>
         this.engine(evicted.address)?.status?.residents.some(
@@ -206,26 +213,26 @@
       );
   }
 
-  /** Drops plans whose copy is there, whose engine is gone, or whose time is up. */
+  /** Drops pending loads whose replica is reported, whose engine is gone, or that have timed out. */
   private dropFinished(): void {
     const now = Date.now();
-    this.planned = this.planned.filter((plan) => {
+    this.pendingLoads = this.pendingLoads.filter((plan) => {
       const engine = this.engine(plan.engine);
-      if (engine?.status === undefined || plan.until <= now) return false;
+      if (engine?.status === undefined || plan.expiresAt <= now) return false;
       return !engine.status.residents.some(
         (r) => r.model === plan.need.model && r.version === plan.need.version && r.state !== "unloading",
       );
     });
   }
 
-  /** Planned copies whose room is free by the engine's own report. */
+  /** Pending loads whose memory is free by the engine's own report. */
   private dueLoads(models: ReadonlyMap<string, PlacedModel>): { engine: Engine; model: PlacedModel }[] {
-    return this.planned.flatMap((plan) => {
+    return this.pendingLoads.flatMap((plan) => {
       const engine = this.engine(plan.engine);
       const model = models.get(plan.need.model);
-      // Guards "space reused before the unload is done": the order waits until the engine itself reports
-      // the room free and the old copy gone; the engine checks again before it reserves.
-      const fits = engine?.status !== undefined && roomOn(engine.status) >= plan.need.sizeMb;
+      // Prevents reusing memory before the unload is done: the order waits until the engine itself reports
+      // the memory free and the old replica gone; the engine checks again before it reserves.
+      const fits = engine?.status !== undefined && freeMbOf(engine.status) >= plan.need.sizeMb;
       const gone = !engine?.status?.residents.some((r) => r.model === plan.need.model);
       return engine !== undefined && model !== undefined && fits && gone ? [{ engine, model }] : [];
     });
@@ -235,20 +242,22 @@
     return this.options.fleet.usable().find((engine) => engine.address === address);
   }
 
-  /** Sends a load order; on failure the plan is dropped and the engine passed over for a while. */
+  /** Sends a load order; on failure the pending load is dropped and the engine gets no loads for `orderBackoffMs`. */
   private async load(engine: Engine, model: PlacedModel): Promise<void> {
     const { lease } = this.options;
     if (!lease.held()) return;
     const { name, version, sizeMb, adapters } = model.spec;
     const order: protocol.LoadOrder = { model: name, version, sizeMb, adapters, fencing: lease.fencing };
     try {
-      learnStatus(engine, await engine.rpc.call("engine.load", order, protocol.EngineStatus));
+      applyStatus(engine, await engine.rpc.call("engine.load", order, protocol.EngineStatus));
       this.options.metrics.moves.inc({ kind: "load" });
     } catch (error) {
-      // Guards "a model is never placed": an engine that loses orders would otherwise be chosen again
-      // every round (its free memory never shrinks); passed over, the next round chooses another.
+      // An engine that loses orders would otherwise be chosen again every round, as its free memory never shrinks,
+      // and the model would never be placed; with the back-off, the next round chooses another engine.
       this.avoidUntil.set(engine.address, Date.now() + this.options.orderBackoffMs);
-      this.planned = this.planned.filter((p) => p.engine !== engine.address || p.need.model !== name);
+      this.pendingLoads = this.pendingLoads.filter(
+        (p) => p.engine !== engine.address || p.need.model !== name,
+      );
       const kind = toFailure(error).kind;
       this.options.log.warn({ event: "load-failed", model: name, engine: engine.address, error: kind });
     }
@@ -262,7 +271,7 @@
     log.info({ event: "unplace", model, version, engine: move.address, reason, fencing: lease.fencing });
     try {
       const order: protocol.UnloadOrder = { model, fencing: lease.fencing };
-      learnStatus(engine, await engine.rpc.call("engine.unload", order, protocol.EngineStatus));
+      applyStatus(engine, await engine.rpc.call("engine.unload", order, protocol.EngineStatus));
       metrics.moves.inc({ kind: "unload" });
     } catch (error) {
       log.warn({ event: "unload-failed", model, engine: move.address, error: toFailure(error).kind });
@@ -270,6 +279,6 @@
   }
 }
 
-function roomOn(status: protocol.EngineStatus): number {
+function freeMbOf(status: protocol.EngineStatus): number {
   return status.capacityMb - status.usedMb;
 }
--- a/src/entry/routingPolicies.ts
+++ b/src/entry/routingPolicies.ts
@@ -1,60 +1,62 @@
-/** The lookup table of routing policies: how an engine is picked among those that have the model ready. */
+/** Lookup table of routing policies, which rank the engines that have a model ready. */
 import * as crypto from "node:crypto";
 import { estimatedLoad, type Engine } from "./fleet.ts";
 
-/** Names of the routing policies; `balanced` is the default, the others are the bench's baselines. */
+/** Names of the routing policies; `balanced` is the default, the others are baselines of the benchmark. */
 export const routingPolicies = ["balanced", "least-loaded", "round-robin"] as const;
 /** A routing policy's name. */
 export type RoutingPolicy = (typeof routingPolicies)[number];
 
-/** What a policy may look at. */
-export interface Choice {
+/** Input of a ranking. */
+export interface RankingInput {
   /** Engines with the model ready; at least one. */
   readonly candidates: readonly Engine[];
   readonly zone: string;
-  /** Start of the prompt, by which engines cache what they have read. */
+  /** Start of the prompt: the key of the engines' prefix caches. */
   readonly prefix: string;
-  /** Rises by one with each choice of this node. */
-  readonly turn: number;
+  /** Incremented with each selection on this node. */
+  readonly sequence: number;
 }
 
 /** Orders the candidates, best first. */
-export type Ranking = (choice: Choice) => Engine[];
+export type Ranking = (choice: RankingInput) => Engine[];
 
-/** Part of an engine's slots by which its load may exceed the least loaded one's to reuse a cached prefix. */
-const affinitySlack = 0.25;
-/** What another zone counts, as part of an engine's slots. */
-const zonePenalty = 0.05;
-/** Prompts shorter than this have no prefix worth a detour, in characters. */
-const shortestPrefix = 64;
+/** Utilization by which an engine may exceed the least utilized one to reuse a cached prefix, as a fraction of its slots. */
+const affinitySlackRatio = 0.25;
+/** Penalty for an engine in another availability zone, as a fraction of its slots. */
+const otherZonePenaltyRatio = 0.05;
+/** Prompts shorter than this, in characters, get no prefix affinity. */
+const minPrefixChars = 64;
 
 /** Routing policy → ranking. */
 export const rankings: Readonly<Record<RoutingPolicy, Ranking>> = {
   balanced,
   "least-loaded": ({ candidates }) => sorted(candidates, (engine) => engine.status?.load ?? 0),
-  "round-robin": ({ candidates, turn }) => {
+  "round-robin": ({ candidates, sequence }) => {
     const byAddress = [...candidates].sort((a, b) => a.address.localeCompare(b.address));
-    const first = turn % byAddress.length;
+    const first = sequence % byAddress.length;
     return [...byAddress.slice(first), ...byAddress.slice(0, first)];
   },
 };
 
 /**
- * Least use of slots, own zone first; among engines nearly as free, the one that most likely has the
- * prompt's prefix cached (rendezvous hashing, so all entry nodes agree without talking).
+ * Lowest utilization first, with a preference for the own zone; among engines with nearly the lowest utilization,
+ * the one that most likely has the prompt's prefix cached (rendezvous hashing, so all entry nodes agree without
+ * coordination).
  */
-function balanced({ candidates, zone, prefix }: Choice): Engine[] {
-  const cost = (engine: Engine): number => use(engine) + (engine.zone === zone ? 0 : zonePenalty);
+function balanced({ candidates, zone, prefix }: RankingInput): Engine[] {
+  const cost = (engine: Engine): number =>
+    utilization(engine) + (engine.zone === zone ? 0 : otherZonePenaltyRatio);
   const ranked = sorted(candidates, cost);
   const least = ranked[0];
-  if (least === undefined || ranked.length === 1 || prefix.length < shortestPrefix) return ranked;
-  const limit = Math.min(1, cost(least) + affinitySlack);
+  if (least === undefined || ranked.length === 1 || prefix.length < minPrefixChars) return ranked;
+  const limit = Math.min(1, cost(least) + affinitySlackRatio);
   const near = ranked.filter((engine) => cost(engine) <= limit);
-  const favourite = sorted(near, (engine) => -affinity(prefix, engine.address))[0] ?? least;
-  return [favourite, ...ranked.filter((engine) => engine !== favourite)];
+  const preferred = sorted(near, (engine) => -affinity(prefix, engine.address))[0] ?? least;
+  return [preferred, ...ranked.filter((engine) => engine !== preferred)];
 }
 
-function use(engine: Engine): number {
+function utilization(engine: Engine): number {
   return estimatedLoad(engine) / Math.max(1, engine.status?.slots ?? 1);
 }
 
--- a/src/entry/serviceCaller.ts
+++ b/src/entry/serviceCaller.ts
@@ -1,14 +1,14 @@
 /**
- * Calls plain services. A call marked non-idempotent needs an `Idempotency-Key`; it is claimed in the
- * ledger before dispatch and never retried once sent, so it runs at most once.
+ * Calls plain services. A non-idempotent call needs an `Idempotency-Key`; the key is claimed in the ledger
+ * before dispatch and the call is never retried once sent, so it runs at most once.
  */
 import { Failure, toFailure } from "../common/errors.ts";
 import { headers } from "../common/openai.ts";
 import type { ServiceCall, ServiceSpec } from "../common/template.ts";
 import type { Ledger } from "./ledger.ts";
 
-/** One service call to make. */
-export interface Call {
+/** A service call with its caller's idempotency key and deadline. */
+export interface ServiceCallRequest {
   readonly customer: string;
   readonly service: ServiceSpec;
   readonly call: ServiceCall;
@@ -25,8 +25,8 @@
 
   constructor(private readonly ledger: Ledger) {}
 
-  /** Runs the call and returns the server's JSON answer; failures are `Failure`s. */
-  async run(call: Call): Promise<unknown> {
+  /** Runs the call and returns the server's JSON response; rejects with a `Failure`. */
+  async run(call: ServiceCallRequest): Promise<unknown> {
     if (call.call.idempotent) return this.send(call);
     if (call.idempotencyKey === undefined || call.idempotencyKey === "") {
       throw new Failure(
@@ -37,32 +37,36 @@
     return this.runOnce(call, call.idempotencyKey);
   }
 
-  private async runOnce(call: Call, key: string): Promise<unknown> {
-    const begun = await this.ledger.begin(call.customer, key, call.requestId, call.deadline);
-    if (begun.kind === "done") return begun.answer;
-    if (begun.kind === "in-progress")
-      throw new Failure("in-progress", "this key's call is still running", begun.requestId);
-    if (begun.kind === "unknown") {
+  private async runOnce(call: ServiceCallRequest, key: string): Promise<unknown> {
+    const claim = await this.ledger.claim(call.customer, key, call.requestId, call.deadline);
+    if (claim.kind === "done") return claim.answer;
+    if (claim.kind === "in-progress")
+      throw new Failure(
+        "in-progress",
+        "the call with this idempotency key is still running",
+        claim.requestId,
+      );
+    if (claim.kind === "unknown") {
       throw new Failure(
         "outcome-unknown",
-        "this key's call may have run; check before retrying",
-        begun.requestId,
+        "the call with this idempotency key may have run; check before retrying",
+        claim.requestId,
       );
     }
     try {
-      const answer = await this.send(call);
-      await this.ledger.finish(call.customer, key, call.requestId, begun.version, answer);
-      return answer;
+      const result = await this.send(call);
+      await this.ledger.finish(call.customer, key, call.requestId, claim.version, result);
+      return result;
     } catch (error) {
       const failure = toFailure(error);
       if (failure.kind === "not-run")
-        await this.ledger.release(call.customer, key, call.requestId, begun.version);
-      else await this.ledger.markUnknown(call.customer, key, call.requestId, begun.version);
+        await this.ledger.release(call.customer, key, call.requestId, claim.version);
+      else await this.ledger.markUnknown(call.customer, key, call.requestId, claim.version);
       throw failure;
     }
   }
 
-  private async send(call: Call): Promise<unknown> {
+  private async send(call: ServiceCallRequest): Promise<unknown> {
     const server = call.service.servers[this.next % call.service.servers.length] ?? call.service.servers[0];
     this.next += 1;
     let response: Response;
@@ -78,19 +82,19 @@
         signal: AbortSignal.timeout(Math.max(1, call.deadline - Date.now())),
       });
     } catch (error) {
-      throw classify(error, call.requestId);
+      throw failureOf(error, call.requestId);
     }
     const body = await response.json();
     if (!response.ok)
-      throw Failure.fromBody(body) ?? new Failure("upstream-failed", `service answered ${response.status}`);
+      throw Failure.fromBody(body) ?? new Failure("upstream-failed", `service returned ${response.status}`);
     return body;
   }
 }
 
-/** Connection refused means the request never reached a server: provably not run. Anything else may have run. */
-function classify(error: unknown, requestId: string): Failure {
+/** Connection refused: the request never reached a server, so the call certainly didn't run. Otherwise it may have run. */
+function failureOf(error: unknown, requestId: string): Failure {
   const cause = (error as { cause?: { code?: string } }).cause;
   if (cause?.code === "ECONNREFUSED")
     return new Failure("not-run", "the service refused the connection", requestId);
-  return new Failure("outcome-unknown", `the service did not answer: ${String(error)}`, requestId);
+  return new Failure("outcome-unknown", `no response from the service: ${String(error)}`, requestId);
 }
--- a/src/entry/serviceTimes.ts
+++ b/src/entry/serviceTimes.ts
@@ -1,46 +1,46 @@
-/** How long completions take on an engine with a place free, learnt from the answers of this node. */
+/** Service times of completions on an engine with a free slot, estimated from this node's responses. */
 
-/** Weight of the newest answer in an average. */
-const newestWeight = 0.1;
-/** What reading the prompt counts, in tokens written. */
-const promptTokens = 4;
+/** Weight of the newest sample in the moving averages. */
+const smoothingFactor = 0.1;
+/** Cost of the prompt's prefill, in generated tokens. */
+const prefillCostTokens = 4;
 
-/** Averages of one model. */
-interface Average {
-  /** Per token of a request's limit (and its prompt), in ms. */
+/** Moving averages of one model's service time. */
+interface ServiceTimeAverage {
+  /** Per token of a request's limit, prefill cost included, in ms. */
   perTokenMs: number;
-  /** Per request, whatever its length, in ms. */
+  /** Per request of any length, in ms. */
   requestMs: number;
 }
 
-/** Learns and foretells service times by model; a model not seen yet is taken for an average one. */
+/** Records and predicts service times by model; a model without samples gets the average over all models. */
 export class ServiceTimes {
-  private readonly models = new Map<string, Average>();
-  private any: Average | undefined;
+  private readonly models = new Map<string, ServiceTimeAverage>();
+  private overall: ServiceTimeAverage | undefined;
 
-  /** An answer of up to `tokens` tokens took `elapsedMs` on an engine with a place free for it. */
-  learn(model: string, tokens: number, elapsedMs: number): void {
-    const newest = { perTokenMs: elapsedMs / (tokens + promptTokens), requestMs: elapsedMs };
+  /** Records that a response of up to `tokens` tokens took `elapsedMs` on an engine with a free slot. */
+  record(model: string, tokens: number, elapsedMs: number): void {
+    const newest = { perTokenMs: elapsedMs / (tokens + prefillCostTokens), requestMs: elapsedMs };
     this.models.set(model, averaged(this.models.get(model), newest));
-    this.any = averaged(this.any, newest);
+    this.overall = averaged(this.overall, newest);
   }
 
   /** Mean time of a request for `model`, in ms; 0 if nothing is known. */
   mean(model: string): number {
-    return (this.models.get(model) ?? this.any)?.requestMs ?? 0;
+    return (this.models.get(model) ?? this.overall)?.requestMs ?? 0;
   }
 
   /** Expected time of a request for up to `tokens` tokens of `model`, in ms; 0 if nothing is known. */
   expected(model: string, tokens: number): number {
-    return ((this.models.get(model) ?? this.any)?.perTokenMs ?? 0) * (tokens + promptTokens);
+    return ((this.models.get(model) ?? this.overall)?.perTokenMs ?? 0) * (tokens + prefillCostTokens);
   }
 }
 
-function averaged(known: Average | undefined, newest: Average): Average {
+function averaged(known: ServiceTimeAverage | undefined, newest: ServiceTimeAverage): ServiceTimeAverage {
   if (known === undefined) return newest;
-  const mixed = (from: number, to: number): number => from + newestWeight * (to - from);
+  const interpolated = (from: number, to: number): number => from + smoothingFactor * (to - from);
   return {
-    perTokenMs: mixed(known.perTokenMs, newest.perTokenMs),
-    requestMs: mixed(known.requestMs, newest.requestMs),
+    perTokenMs: interpolated(known.perTokenMs, newest.perTokenMs),
+    requestMs: interpolated(known.requestMs, newest.requestMs),
   };
 }
--- a/src/placement/baselinePlanners.ts
+++ b/src/placement/baselinePlanners.ts
@@ -1,80 +1,82 @@
-/** The baselines the bench compares against: a static even placement, and least-recently-used eviction. */
+/** Baseline planners for the benchmark: a static even placement, and least-recently-used eviction. */
 import { Draft, type DraftAccelerator } from "./draft.ts";
-import type { Copy, Load, Move, Need, Snapshot } from "./snapshot.ts";
-import { apply, retirements, swap, unload } from "./upkeep.ts";
+import type { Replica, Load, Move, Need, Snapshot } from "./snapshot.ts";
+import { applyLoad, obsoleteUnloads, replaceOldVersion, unload } from "./upkeep.ts";
 
-/** Spreads copies evenly in template order until memory is full, then never moves them. */
+/** Spreads replicas evenly in template order until memory is full, and never moves them afterwards. */
 export function staticPlanner(snapshot: Snapshot): Move[] {
   const draft = new Draft(snapshot);
-  const moves: Move[] = retirements(draft);
+  const moves: Move[] = obsoleteUnloads(draft);
   const smallest = Math.min(...snapshot.needs.map((need) => need.sizeMb));
-  if (draft.accelerators.every((accelerator) => draft.free(accelerator) < smallest)) return moves;
+  if (draft.accelerators.every((accelerator) => draft.freeMb(accelerator) < smallest)) return moves;
   const most = Math.max(1, ...snapshot.needs.map((need) => need.replicas));
-  for (let copies = 1; copies <= most; copies += 1) {
+  for (let replicas = 1; replicas <= most; replicas += 1) {
     for (const need of snapshot.needs) {
       if (moves.length >= snapshot.loads) return moves;
-      if (draft.current(need) >= Math.min(copies, need.replicas)) continue;
-      const load = emptiest(draft, need) ?? swap(draft, need);
+      if (draft.currentVersionCount(need) >= Math.min(replicas, need.replicas)) continue;
+      const load = loadIntoMostFreeMemory(draft, need) ?? replaceOldVersion(draft, need);
       if (load === undefined) continue;
-      apply(draft, load);
+      applyLoad(draft, load);
       moves.push(load);
     }
   }
   return moves;
 }
 
-/** Loads a model when a request waits for it, in place of the least recently used ones. */
+/** Loads a model when a request waits for it, evicting the least recently used models. */
 export function lruPlanner(snapshot: Snapshot): Move[] {
   const draft = new Draft(snapshot);
-  const moves: Move[] = retirements(draft);
+  const moves: Move[] = obsoleteUnloads(draft);
   let loads = snapshot.loads;
   for (const need of snapshot.needs) {
-    const wanted = draft.copies(need.model) === 0 && need.waiting > 0;
-    const keep = draft.current(need) < need.replicas;
+    const wanted = draft.replicaCount(need.model) === 0 && need.waiting > 0;
+    const keep = draft.currentVersionCount(need) < need.replicas;
     if (loads <= 0 || (!wanted && !keep)) continue;
     const load =
-      emptiest(draft, need) ?? swap(draft, need) ?? (wanted ? evictOldest(draft, need) : undefined);
+      loadIntoMostFreeMemory(draft, need) ??
+      replaceOldVersion(draft, need) ??
+      (wanted ? loadEvictingLru(draft, need) : undefined);
     if (load === undefined) continue;
-    apply(draft, load);
+    applyLoad(draft, load);
     moves.push(load);
     loads -= 1;
   }
   return moves;
 }
 
-function emptiest(draft: Draft, need: Need): Load | undefined {
+function loadIntoMostFreeMemory(draft: Draft, need: Need): Load | undefined {
   const fits = draft
     .loadable(need)
-    .filter((accelerator) => draft.free(accelerator) >= need.sizeMb)
-    .sort((a, b) => draft.free(b) - draft.free(a));
+    .filter((accelerator) => draft.freeMb(accelerator) >= need.sizeMb)
+    .sort((a, b) => draft.freeMb(b) - draft.freeMb(a));
   const first = fits[0];
   if (first === undefined) return undefined;
   return { kind: "load", address: first.address, need, evict: [], reason: "most-free-memory" };
 }
 
-function evictOldest(draft: Draft, need: Need): Load | undefined {
+function loadEvictingLru(draft: Draft, need: Need): Load | undefined {
   const choices = draft
     .loadable(need)
-    .map((accelerator) => ({ accelerator, evicted: oldestThatFit(draft, accelerator, need) }))
+    .map((accelerator) => ({ accelerator, evicted: lruVictims(draft, accelerator, need) }))
     .flatMap(({ accelerator, evicted }) => (evicted === undefined ? [] : [{ accelerator, evicted }]))
-    .sort((a, b) => newestUse(draft, a.evicted) - newestUse(draft, b.evicted));
+    .sort((a, b) => lastUseOfAny(draft, a.evicted) - lastUseOfAny(draft, b.evicted));
   const best = choices[0];
   if (best === undefined) return undefined;
-  const evict = best.evicted.map((copy) => unload(best.accelerator, copy, "least-recently-used"));
+  const evict = best.evicted.map((replica) => unload(best.accelerator, replica, "least-recently-used"));
   return { kind: "load", address: best.accelerator.address, need, evict, reason: "miss" };
 }
 
-function oldestThatFit(draft: Draft, accelerator: DraftAccelerator, need: Need): Copy[] | undefined {
-  const byUse = accelerator.copies
-    .filter((copy) => copy.state === "ready")
+function lruVictims(draft: Draft, accelerator: DraftAccelerator, need: Need): Replica[] | undefined {
+  const byUse = accelerator.residents
+    .filter((replica) => replica.state === "ready")
     .sort((a, b) => lastUse(draft, a) - lastUse(draft, b));
-  return draft.makeRoom(accelerator, need, byUse);
+  return draft.selectEvictions(accelerator, need, byUse);
 }
 
-function lastUse(draft: Draft, copy: Copy): number {
-  return draft.need(copy.model)?.lastUsed ?? 0;
+function lastUse(draft: Draft, replica: Replica): number {
+  return draft.need(replica.model)?.lastUsed ?? 0;
 }
 
-function newestUse(draft: Draft, copies: readonly Copy[]): number {
-  return Math.max(...copies.map((copy) => lastUse(draft, copy)));
+function lastUseOfAny(draft: Draft, replicas: readonly Replica[]): number {
+  return Math.max(...replicas.map((replica) => lastUse(draft, replica)));
 }
