--- a/src/placement/demandPlanner.ts
+++ b/src/placement/demandPlanner.ts
@@ -1,32 +1,32 @@
 /**
- * The planner the system runs with: every model keeps its copies while they fit; copies beyond that
- * follow measured demand, and a copy is moved only when what it is expected to gain over the planning
- * horizon outweighs the cost of the moves. What is evicted is what is least worth keeping (usual demand
- * per MB), not what was used least recently: a rare model asked for once does not push out a common one.
+ * The default planner. Every model keeps its configured replicas while they fit; additional replicas follow
+ * measured demand, and a replica is moved only if its expected gain over the planning horizon exceeds the
+ * cost of the moves. Evicts the replicas with the lowest retention value (long-term demand per MB) rather than
+ * the least recently used ones, so that one request for a rare model doesn't evict a model in steady use.
  */
 import { Draft, type DraftAccelerator } from "./draft.ts";
-import type { Copy, Load, Move, Need, Planner, Snapshot, Unload } from "./snapshot.ts";
-import { apply, retirements, swap, unload } from "./upkeep.ts";
+import type { Replica, Load, Move, Need, Planner, Snapshot, Unload } from "./snapshot.ts";
+import { applyLoad, obsoleteUnloads, replaceOldVersion, unload } from "./upkeep.ts";
 
 /** Tuning of the demand planner; figures in docs/design/002-placement-policy.md. */
 export interface DemandPlannerOptions {
-  /** Part of an engine's slots that expected load may fill before a further copy is considered. */
-  readonly targetUse?: number;
-  /** Time over which a further copy must pay for its moves, in seconds. */
+  /** Fraction of an engine's slots that expected load may fill before an additional replica is considered. */
+  readonly targetUtilization?: number;
+  /** Time over which an additional replica must make up for the cost of its moves, in seconds. */
   readonly horizonSeconds?: number;
-  /** What serving one waiting request is worth, in stream-seconds. */
-  readonly requestSeconds?: number;
+  /** Value of serving one waiting request, in stream-seconds. */
+  readonly waitingRequestSeconds?: number;
   /**
-   * A model asked for in vain this long is loaded for its next request whatever it costs, in ms, at
-   * moveWeight 0 and more of it per unit of moveWeight.
+   * A model without a replica that has been requested for this long is loaded for its next request at any
+   * cost, in ms: the value at moveWeight 0 and what a unit of moveWeight adds.
    */
-  readonly reachMs?: number;
-  readonly reachMsPerWeight?: number;
-  /** Cost of one move in stream-seconds, at moveWeight 0 and what its square adds. */
+  readonly maxUnmetMs?: number;
+  readonly maxUnmetMsPerMoveWeight?: number;
+  /** Cost of one move in stream-seconds: the value at moveWeight 0 and what the square of moveWeight adds. */
   readonly moveCost?: number;
-  readonly moveCostPerWeight?: number;
-  /** A copy younger than this is not evicted, in ms. */
-  readonly minStayMs?: number;
+  readonly moveCostPerSquaredMoveWeight?: number;
+  /** Minimum age of a replica before it may be evicted, in ms. */
+  readonly minResidenceMs?: number;
 }
 
 const defaults = {
@@ -41,227 +41,234 @@
 };
 type Options = typeof defaults;
 
-/** What one request adds to the short average of demand when it arrives, in streams. */
+/** What one arriving request adds to the short-term demand average, in streams. */
 const requestDemand = 0.15;
 
-/** Models, and engines, that one step of planning weighs against each other, the neediest and freest first. */
-const mostConsidered = 24;
+/** Most models, and most engines, considered for an additional replica: those with most demand, and with least load. */
+const maxCandidates = 24;
 
-/** Makes a demand planner. */
+/** Creates a demand planner. */
 export function demandPlanner(options: DemandPlannerOptions = {}): Planner {
-  const tuned: Options = { ...defaults, ...options };
-  return (snapshot) => plan(snapshot, tuned);
+  const merged: Options = { ...defaults, ...options };
+  return (snapshot) => plan(snapshot, merged);
 }
 
 function plan(snapshot: Snapshot, options: Options): Move[] {
   const draft = new Draft(snapshot);
-  const moves: Move[] = retirements(draft);
+  const moves: Move[] = obsoleteUnloads(draft);
   let loads = snapshot.loads;
-  const take = (load: Load | undefined): boolean => {
+  const applyMove = (load: Load | undefined): boolean => {
     if (load === undefined) return false;
-    apply(draft, load);
+    applyLoad(draft, load);
     moves.push(load);
     loads -= 1;
     return true;
   };
-  const missing = byUrgency(snapshot.needs).filter((need) => draft.copies(need.model) === 0);
+  const missing = byUrgency(snapshot.needs).filter((need) => draft.replicaCount(need.model) === 0);
   for (const need of missing) {
     if (loads <= 0) return moves;
-    take(roomFor(draft, need, "first-copy"));
+    applyMove(loadIntoFreeMemory(draft, need, "first-copy"));
   }
   for (const need of snapshot.needs)
-    while (loads > 0 && draft.current(need) < need.replicas)
-      if (!take(roomFor(draft, need, "keep-replicas") ?? swap(draft, need))) break;
-  while (loads > 0 && take(bestTrade(draft, missing, options)));
+    while (loads > 0 && draft.currentVersionCount(need) < need.replicas)
+      if (!applyMove(loadIntoFreeMemory(draft, need, "keep-replicas") ?? replaceOldVersion(draft, need)))
+        break;
+  while (loads > 0 && applyMove(bestReplacement(draft, missing, options)));
   return moves;
 }
 
-/** A load in place of other copies, and what it gains over them, in weighted stream-seconds. */
-interface Trade {
+/** A load that evicts other replicas, and its net gain in weighted stream-seconds. */
+interface Replacement {
   readonly load: Load;
-  readonly net: number;
+  readonly netGain: number;
 }
 
-/** The trade that gains most: the first copy of a missing model, or a further copy of a crowded one. */
-function bestTrade(draft: Draft, missing: readonly Need[], options: Options): Load | undefined {
-  const trades = missing
-    .filter((need) => draft.copies(need.model) === 0)
-    .map((need) => firstCopy(draft, need, options));
-  return [...trades, furtherCopy(draft, options)]
-    .flatMap((trade) => trade ?? [])
-    .reduce<Trade | undefined>((best, trade) => (trade.net > (best?.net ?? 0) ? trade : best), undefined)
-    ?.load;
+/** The replacement with the highest net gain: a first replica of a missing model, or an additional one of an overutilized model. */
+function bestReplacement(draft: Draft, missing: readonly Need[], options: Options): Load | undefined {
+  const replacements = missing
+    .filter((need) => draft.replicaCount(need.model) === 0)
+    .map((need) => firstReplica(draft, need, options));
+  return [...replacements, additionalReplica(draft, options)]
+    .flatMap((candidate) => candidate ?? [])
+    .reduce<Replacement | undefined>(
+      (best, candidate) => (candidate.netGain > (best?.netGain ?? 0) ? candidate : best),
+      undefined,
+    )?.load;
 }
 
-/** Models by what they are worth, requests waiting for them included. */
+/** Models by descending demand value, waiting requests included. */
 function byUrgency(needs: readonly Need[]): Need[] {
-  const urgency = (need: Need): number => worth(need) + need.weight * need.waiting;
+  const urgency = (need: Need): number => demandValue(need) + need.weight * need.waiting;
   return [...needs].sort((a, b) => urgency(b) - urgency(a));
 }
 
-/** A first copy in place of spare copies, else of those least worth keeping. */
-function firstCopy(draft: Draft, need: Need, options: Options): Trade | undefined {
-  const gain = worth(need) * options.horizonSeconds + need.weight * need.waiting * options.requestSeconds;
-  const due = overdue(draft, need, options);
-  if (gain <= movesCost(need, 2, options) && !due) return undefined;
+/** A first replica of a model, evicting the replicas that cost least to replace. */
+function firstReplica(draft: Draft, need: Need, options: Options): Replacement | undefined {
+  const gain =
+    demandValue(need) * options.horizonSeconds + need.weight * need.waiting * options.requestSeconds;
+  const overdue = isOverdue(draft, need, options);
+  if (gain <= movesCost(need, 2, options) && !overdue) return undefined;
   const choices = draft
     .loadable(need)
     .map((accelerator) => ({ accelerator, evicted: victims(draft, accelerator, need, options, true) }))
     .flatMap(({ accelerator, evicted }) => (evicted === undefined ? [] : [{ accelerator, evicted }]))
-    .map((choice) => ({ ...choice, cost: tradeCost(draft, need, choice.evicted, options) }))
+    .map((choice) => ({ ...choice, cost: replacementCost(draft, need, choice.evicted, options) }))
     .sort((a, b) => a.cost - b.cost);
   const best = choices[0];
   if (best === undefined) return undefined;
-  const load = replacing(best.accelerator, need, best.evicted, "first-copy");
-  return { load, net: due ? Number.POSITIVE_INFINITY : gain - best.cost };
+  const load = loadReplacing(best.accelerator, need, best.evicted, "first-copy");
+  return { load, netGain: overdue ? Number.POSITIVE_INFINITY : gain - best.cost };
 }
 
 /**
- * Whether a model has been asked for in vain for too long. Guards "a rare model is never reachable": it
- * is never worth the moves by its demand alone, so its next request gets it loaded whatever it costs.
+ * Whether a model without a replica has been requested for too long. By its demand alone a rare model is never
+ * worth the moves and would stay unreachable, so its next request gets it loaded at any cost.
  */
-function overdue(draft: Draft, need: Need, options: Options): boolean {
+function isOverdue(draft: Draft, need: Need, options: Options): boolean {
   const reachMs = options.reachMs + options.reachMsPerWeight * need.moveWeight;
   const unmetMs = need.unmetSince > 0 ? draft.snapshot.now - need.unmetSince : 0;
   return need.waiting > 0 && unmetMs >= reachMs;
 }
 
-/** The engine with room for `need` that expects the least load per slot. */
-function roomFor(draft: Draft, need: Need, reason: string): Load | undefined {
-  const roomy = draft.loadable(need).filter((accelerator) => draft.free(accelerator) >= need.sizeMb);
-  if (roomy.length === 0) return undefined;
+/** A load on the engine with the lowest expected utilization among those with enough free memory. */
+function loadIntoFreeMemory(draft: Draft, need: Need, reason: string): Load | undefined {
+  const withRoom = draft.loadable(need).filter((accelerator) => draft.freeMb(accelerator) >= need.sizeMb);
+  if (withRoom.length === 0) return undefined;
   const loads = draft.expectedLoads();
-  const fits = roomy.sort((a, b) => use(a, loads) - use(b, loads) || draft.free(b) - draft.free(a));
-  return fits[0] === undefined ? undefined : replacing(fits[0], need, [], reason);
+  const fits = withRoom.sort(
+    (a, b) => utilization(a, loads) - utilization(b, loads) || draft.freeMb(b) - draft.freeMb(a),
+  );
+  return fits[0] === undefined ? undefined : loadReplacing(fits[0], need, [], reason);
 }
 
-/** One more copy of a model that has an engine over its target, on an engine that is not. */
-function furtherCopy(draft: Draft, options: Options): Trade | undefined {
+/** An additional replica of a model with an engine above the target utilization, on an engine below it. */
+function additionalReplica(draft: Draft, options: Options): Replacement | undefined {
   const loads = draft.expectedLoads();
-  // Guards "a further copy of one model makes another unreachable": last copies are left alone while the
-  // pool can hold every model. Where it cannot, models share it over time by what they are worth.
-  const last = draft.crowded;
-  let best: Trade | undefined;
-  const crowded = draft.snapshot.needs
-    .filter((need) => draft.holders(need.model).some((h) => use(h, loads) >= options.targetUse))
+  // While the pool can hold every model, last replicas are never evicted for an additional replica, which would
+  // make another model unreachable. If it cannot, models share the pool over time by their demand value.
+  const allowRequested = draft.overcommitted;
+  let best: Replacement | undefined;
+  const overutilized = draft.snapshot.needs
+    .filter((need) => draft.holders(need.model).some((h) => utilization(h, loads) >= options.targetUse))
     .sort((a, b) => b.weight * b.demand - a.weight * a.demand)
-    .slice(0, mostConsidered);
+    .slice(0, maxCandidates);
   const free = draft.accelerators
-    .filter((accelerator) => accelerator.loadable && use(accelerator, loads) < options.targetUse)
-    .sort((a, b) => use(a, loads) - use(b, loads))
-    .slice(0, mostConsidered);
-  for (const need of crowded) {
+    .filter((accelerator) => accelerator.loadable && utilization(accelerator, loads) < options.targetUse)
+    .sort((a, b) => utilization(a, loads) - utilization(b, loads))
+    .slice(0, maxCandidates);
+  for (const need of overutilized) {
     for (const accelerator of free) {
-      if (accelerator.copies.some((copy) => copy.model === need.model)) continue;
-      const evicted = victims(draft, accelerator, need, options, last);
+      if (accelerator.residents.some((replica) => replica.model === need.model)) continue;
+      const evicted = victims(draft, accelerator, need, options, allowRequested);
       if (evicted === undefined) continue;
-      const load = replacing(accelerator, need, evicted, "demand");
-      const gain = need.weight * relief(draft, loads, accelerator, need, evicted, options);
-      const net = gain * options.horizonSeconds - tradeCost(draft, need, evicted, options);
-      if (net > (best?.net ?? 0)) best = { load, net };
+      const load = loadReplacing(accelerator, need, evicted, "demand");
+      const gain = need.weight * excessReduction(draft, loads, accelerator, need, evicted, options);
+      const net = gain * options.horizonSeconds - replacementCost(draft, need, evicted, options);
+      if (net > (best?.netGain ?? 0)) best = { load, netGain: net };
     }
   }
   return best;
 }
 
-/** What a load costs: its moves, and what the evicted copies were worth over the horizon. */
-function tradeCost(draft: Draft, need: Need, evicted: readonly Copy[], options: Options): number {
-  const kept = sum(evicted, (copy) => keepValue(draft, copy));
-  return movesCost(need, 1 + evicted.length, options) + kept * options.horizonSeconds;
+/** Cost of a load: its moves, and the retention value of the evicted replicas over the horizon. */
+function replacementCost(draft: Draft, need: Need, evicted: readonly Replica[], options: Options): number {
+  const lostValue = sum(evicted, (replica) => retentionValue(draft, replica));
+  return movesCost(need, 1 + evicted.length, options) + lostValue * options.horizonSeconds;
 }
 
 /**
- * Copies to evict from an engine so that `need` fits, the least worth keeping first; undefined if none
- * will do. Copies that templates ask for are taken only if `last` allows it.
+ * Replicas to evict from an engine so that `need` fits, lowest retention value per MB first; undefined if that
+ * isn't possible. Replicas that templates request are evicted only if `allowRequested` is true.
  */
 function victims(
   draft: Draft,
   accelerator: DraftAccelerator,
   need: Need,
   options: Options,
-  last: boolean,
-): Copy[] | undefined {
-  const candidates = accelerator.copies
-    .filter((copy) => copy.state === "ready" && draft.snapshot.now - copy.since >= options.minStayMs)
-    .filter((copy) => last || spare(draft, copy))
-    .sort((a, b) => keepValue(draft, a) / a.sizeMb - keepValue(draft, b) / b.sizeMb);
-  return draft.makeRoom(accelerator, need, candidates);
+  allowRequested: boolean,
+): Replica[] | undefined {
+  const candidates = accelerator.residents
+    .filter((replica) => replica.state === "ready" && draft.snapshot.now - replica.since >= options.minStayMs)
+    .filter((replica) => allowRequested || isSpare(draft, replica))
+    .sort((a, b) => retentionValue(draft, a) / a.sizeMb - retentionValue(draft, b) / b.sizeMb);
+  return draft.selectEvictions(accelerator, need, candidates);
 }
 
-/** Whether the model keeps its asked-for copies without this one. */
-function spare(draft: Draft, copy: Copy): boolean {
-  const need = draft.need(copy.model);
-  return need === undefined || draft.copies(copy.model) > need.replicas;
+/** Whether the model keeps the replicas that templates request without this one. */
+function isSpare(draft: Draft, replica: Replica): boolean {
+  const need = draft.need(replica.model);
+  return need === undefined || draft.replicaCount(replica.model) > need.replicas;
 }
 
-/** What keeping this copy is worth, in weighted streams at once. */
-function keepValue(draft: Draft, copy: Copy): number {
-  const need = draft.need(copy.model);
+/** Value of keeping this replica, in weighted concurrent streams. */
+function retentionValue(draft: Draft, replica: Replica): number {
+  const need = draft.need(replica.model);
   if (need === undefined) return 0;
-  const holders = draft.copies(copy.model);
-  return holders > 1 ? worth(need) / (holders * holders) : worth(need);
+  const holders = draft.replicaCount(replica.model);
+  return holders > 1 ? demandValue(need) / (holders * holders) : demandValue(need);
 }
 
 /**
- * What serving a model is worth, in weighted streams at once. One request raises the short average as if
- * many came; taking off its spread (arrivals are random) leaves only what several requests bear out.
+ * Value of serving a model, in weighted concurrent streams. One request raises the short-term average as if
+ * many had arrived; subtracting the spread of random arrivals leaves only the demand confirmed by several requests.
  */
-function worth(need: Need): number {
-  const borneOut = need.demand - Math.sqrt(need.demand * requestDemand);
-  return need.weight * Math.max(borneOut, need.usual);
+function demandValue(need: Need): number {
+  const confirmed = need.demand - Math.sqrt(need.demand * requestDemand);
+  return need.weight * Math.max(confirmed, need.usual);
 }
 
 function movesCost(need: Need, moves: number, options: Options): number {
   return moves * (options.moveCost + options.moveCostPerWeight * need.moveWeight ** 2);
 }
 
-/** Streams past an engine's target: they wait, or slow the others down. */
-function lossOf(accelerator: DraftAccelerator, load: number, options: Options): number {
+/** Streams above an engine's target utilization, which wait or slow down the others. */
+function excessStreams(accelerator: DraftAccelerator, load: number, options: Options): number {
   return Math.max(0, load - options.targetUse * accelerator.slots);
 }
 
 /**
- * How many streams fewer would be past the targets with one more copy of `need` on `accelerator` in place
- * of `evicted`. Only the engines whose load changes are looked at, so the cost does not grow with the pool.
+ * Reduction of streams above the targets with one more replica of `need` on `accelerator` in place of `evicted`.
+ * Only engines whose load changes are evaluated, so the cost doesn't grow with the pool.
  */
-function relief(
+function excessReduction(
   draft: Draft,
   loads: ReadonlyMap<DraftAccelerator, number>,
   accelerator: DraftAccelerator,
   need: Need,
-  evicted: readonly Copy[],
+  evicted: readonly Replica[],
   options: Options,
 ): number {
-  const change = new Map<DraftAccelerator, number>();
-  const shift = (on: DraftAccelerator, by: number): void => void change.set(on, (change.get(on) ?? 0) + by);
-  const copies = draft.copies(need.model);
-  const share = need.demand / (copies + 1);
-  shift(accelerator, share);
-  for (const holder of draft.holders(need.model)) shift(holder, share - need.demand / copies);
-  for (const copy of evicted) {
-    const demand = draft.need(copy.model)?.demand ?? 0;
-    const before = draft.copies(copy.model);
-    shift(accelerator, -demand / before);
-    for (const holder of draft.holders(copy.model))
-      if (holder !== accelerator) shift(holder, demand / (before - 1) - demand / before);
+  const loadChanges = new Map<DraftAccelerator, number>();
+  const addLoad = (on: DraftAccelerator, streams: number): void =>
+    void loadChanges.set(on, (loadChanges.get(on) ?? 0) + streams);
+  const replicas = draft.replicaCount(need.model);
+  const share = need.demand / (replicas + 1);
+  addLoad(accelerator, share);
+  for (const holder of draft.holders(need.model)) addLoad(holder, share - need.demand / replicas);
+  for (const replica of evicted) {
+    const demand = draft.need(replica.model)?.demand ?? 0;
+    const before = draft.replicaCount(replica.model);
+    addLoad(accelerator, -demand / before);
+    for (const holder of draft.holders(replica.model))
+      if (holder !== accelerator) addLoad(holder, demand / (before - 1) - demand / before);
   }
-  return sum([...change], ([on, by]) => {
+  return sum([...loadChanges], ([on, streams]) => {
     const load = loads.get(on) ?? 0;
-    return lossOf(on, load, options) - lossOf(on, load + by, options);
+    return excessStreams(on, load, options) - excessStreams(on, load + streams, options);
   });
 }
 
-function use(accelerator: DraftAccelerator, loads: ReadonlyMap<DraftAccelerator, number>): number {
+function utilization(accelerator: DraftAccelerator, loads: ReadonlyMap<DraftAccelerator, number>): number {
   return (loads.get(accelerator) ?? 0) / accelerator.slots;
 }
 
-function replacing(
+function loadReplacing(
   accelerator: DraftAccelerator,
   need: Need,
-  victimsOf: readonly Copy[],
+  evicted: readonly Replica[],
   reason: string,
 ): Load {
-  const evict: Unload[] = victimsOf.map((copy) => unload(accelerator, copy, `make-room:${reason}`));
+  const evict: Unload[] = evicted.map((replica) => unload(accelerator, replica, `make-room:${reason}`));
   return { kind: "load", address: accelerator.address, need, evict, reason };
 }
 
--- a/src/placement/draft.ts
+++ b/src/placement/draft.ts
@@ -1,116 +1,122 @@
-/** A working copy of a snapshot that moves are tried on while planning. */
-import type { Accelerator, Copy, Need, Snapshot } from "./snapshot.ts";
+/** A mutable copy of a snapshot to which planned moves are applied. */
+import type { Accelerator, Replica, Need, Snapshot } from "./snapshot.ts";
 
-/** An accelerator whose copies change while planning. */
-export interface DraftAccelerator extends Omit<Accelerator, "copies"> {
-  copies: Copy[];
+/** An accelerator whose replicas change during planning. */
+export interface DraftAccelerator extends Omit<Accelerator, "residents"> {
+  residents: Replica[];
 }
 
-/** Mutable view of the pool: free memory, copies and expected load after the moves so far. */
+/** Mutable view of the pool: free memory, replicas and expected load after the moves applied so far. */
 export class Draft {
   readonly accelerators: DraftAccelerator[];
   private readonly needs: ReadonlyMap<string, Need>;
-  /** Accelerators with a serving copy, by model; kept in step with their copies. */
-  private readonly holding = new Map<string, Set<DraftAccelerator>>();
+  /** Accelerators with a serving or pending replica, by model; updated with their residents. */
+  private readonly acceleratorsByModel = new Map<string, Set<DraftAccelerator>>();
 
   constructor(readonly snapshot: Snapshot) {
     this.accelerators = snapshot.accelerators.map((accelerator) => ({
       ...accelerator,
-      copies: [...accelerator.copies],
+      residents: [...accelerator.residents],
     }));
     for (const accelerator of this.accelerators)
-      for (const copy of accelerator.copies) this.index(accelerator, copy);
+      for (const replica of accelerator.residents) this.index(accelerator, replica);
     this.needs = new Map(snapshot.needs.map((need) => [need.model, need]));
   }
 
-  /** Whether the pool cannot hold one copy of every model. */
-  get crowded(): boolean {
+  /** Whether the pool cannot hold one replica of every model. */
+  get overcommitted(): boolean {
     const capacityMb = this.accelerators.reduce((total, a) => total + a.capacityMb, 0);
     return this.snapshot.needs.reduce((total, need) => total + need.sizeMb, 0) > capacityMb;
   }
 
-  /** The need of `model`, if a template names it. */
+  /** The need of `model`, if any template names it. */
   need(model: string): Need | undefined {
     return this.needs.get(model);
   }
 
-  /** Memory not committed to any copy, in MB. */
-  free(accelerator: DraftAccelerator): number {
-    return accelerator.copies.reduce((free, copy) => free - copy.sizeMb, accelerator.capacityMb);
+  /** Memory not reserved by any replica, in MB. */
+  freeMb(accelerator: DraftAccelerator): number {
+    return accelerator.residents.reduce((free, replica) => free - replica.sizeMb, accelerator.capacityMb);
   }
 
-  /** Accelerators holding a copy of `model` that serves or will serve (any version). */
+  /** Accelerators with a replica of `model` that serves or will serve (any version). */
   holders(model: string): DraftAccelerator[] {
-    return [...(this.holding.get(model) ?? [])];
+    return [...(this.acceleratorsByModel.get(model) ?? [])];
   }
 
-  /** How many copies of `model` serve or will serve (any version). */
-  copies(model: string): number {
-    return this.holding.get(model)?.size ?? 0;
+  /** Number of replicas of `model` that serve or will serve (any version). */
+  replicaCount(model: string): number {
+    return this.acceleratorsByModel.get(model)?.size ?? 0;
   }
 
-  /** Copies of a need's current version that serve or will serve. */
-  current(need: Need): number {
+  /** Number of replicas of a need's current version that serve or will serve. */
+  currentVersionCount(need: Need): number {
     return this.holders(need.model).filter((accelerator) =>
-      accelerator.copies.some((copy) => serves(copy, need.model) && copy.version === need.version),
+      accelerator.residents.some(
+        (replica) => isServing(replica, need.model) && replica.version === need.version,
+      ),
     ).length;
   }
 
-  /** Accelerators that may get a copy of `need` and hold none. */
+  /** Accelerators that accept loads and have no replica of the model. */
   loadable(need: Need): DraftAccelerator[] {
-    return this.accelerators.filter((a) => a.loadable && !a.copies.some((c) => c.model === need.model));
+    return this.accelerators.filter((a) => a.loadable && !a.residents.some((c) => c.model === need.model));
   }
 
-  /** The first of `candidates` (copies on `accelerator`) that together make room for `need`; undefined if all do not. */
-  makeRoom(accelerator: DraftAccelerator, need: Need, candidates: readonly Copy[]): Copy[] | undefined {
-    let missing = need.sizeMb - this.free(accelerator);
-    const chosen: Copy[] = [];
-    for (const copy of candidates) {
+  /** The first of `candidates` (replicas on `accelerator`) that together free enough memory for `need`; undefined if all of them don't. */
+  selectEvictions(
+    accelerator: DraftAccelerator,
+    need: Need,
+    candidates: readonly Replica[],
+  ): Replica[] | undefined {
+    let missing = need.sizeMb - this.freeMb(accelerator);
+    const chosen: Replica[] = [];
+    for (const replica of candidates) {
       if (missing <= 0) break;
-      chosen.push(copy);
-      missing -= copy.sizeMb;
+      chosen.push(replica);
+      missing -= replica.sizeMb;
     }
     return missing > 0 ? undefined : chosen;
   }
 
-  /** Adds a planned copy of `need`. */
+  /** Adds a planned replica of `need`. */
   add(accelerator: DraftAccelerator, need: Need): void {
     const { model, version, sizeMb } = need;
-    const copy: Copy = { model, version, sizeMb, state: "planned", since: this.snapshot.now };
-    accelerator.copies = [...accelerator.copies, copy];
-    this.index(accelerator, copy);
+    const replica: Replica = { model, version, sizeMb, state: "planned", since: this.snapshot.now };
+    accelerator.residents = [...accelerator.residents, replica];
+    this.index(accelerator, replica);
   }
 
-  /** Removes a model's copy, as if its unload were done; returns it. */
-  remove(accelerator: DraftAccelerator, model: string): Copy | undefined {
-    const copy = accelerator.copies.find((c) => c.model === model);
-    if (copy === undefined) return undefined;
-    accelerator.copies = accelerator.copies.filter((c) => c !== copy);
-    this.holding.get(model)?.delete(accelerator);
-    return copy;
+  /** Removes a model's replica, as if its unload were complete; returns it. */
+  remove(accelerator: DraftAccelerator, model: string): Replica | undefined {
+    const replica = accelerator.residents.find((c) => c.model === model);
+    if (replica === undefined) return undefined;
+    accelerator.residents = accelerator.residents.filter((c) => c !== replica);
+    this.acceleratorsByModel.get(model)?.delete(accelerator);
+    return replica;
   }
 
-  /** Expected streams at once on each accelerator, splitting a model's demand evenly over its copies. */
+  /** Expected concurrent streams on each accelerator, with a model's demand split evenly over its replicas. */
   expectedLoads(): Map<DraftAccelerator, number> {
     return new Map(
       this.accelerators.map((accelerator) => [
         accelerator,
-        accelerator.copies.reduce((load, copy) => {
-          if (copy.state === "unloading") return load;
-          return load + (this.need(copy.model)?.demand ?? 0) / this.copies(copy.model);
+        accelerator.residents.reduce((load, replica) => {
+          if (replica.state === "unloading") return load;
+          return load + (this.need(replica.model)?.demand ?? 0) / this.replicaCount(replica.model);
         }, 0),
       ]),
     );
   }
 
-  private index(accelerator: DraftAccelerator, copy: Copy): void {
-    if (copy.state === "unloading") return;
-    const holders = this.holding.get(copy.model) ?? new Set();
+  private index(accelerator: DraftAccelerator, replica: Replica): void {
+    if (replica.state === "unloading") return;
+    const holders = this.acceleratorsByModel.get(replica.model) ?? new Set();
     holders.add(accelerator);
-    this.holding.set(copy.model, holders);
+    this.acceleratorsByModel.set(replica.model, holders);
   }
 }
 
-function serves(copy: Copy, model: string): boolean {
-  return copy.model === model && copy.state !== "unloading";
+function isServing(replica: Replica, model: string): boolean {
+  return replica.model === model && replica.state !== "unloading";
 }
--- a/src/placement/planners.ts
+++ b/src/placement/planners.ts
@@ -1,9 +1,9 @@
-/** The lookup table of placement policies, by the name given in settings. */
+/** Lookup table of placement policies, by the name used in settings. */
 import { lruPlanner, staticPlanner } from "./baselinePlanners.ts";
 import { demandPlanner } from "./demandPlanner.ts";
 import type { Planner } from "./snapshot.ts";
 
-/** Names of the placement policies; `demand` is the default, the others are the bench's baselines. */
+/** Names of the placement policies; `demand` is the default, the others are baselines of the benchmark. */
 export const placementPolicies = ["demand", "static", "lru"] as const;
 /** A placement policy's name. */
 export type PlacementPolicy = (typeof placementPolicies)[number];
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,13 +1,13 @@
-/** What a placement planner sees of the pool, and the moves it answers with. Plain data, no I/O. */
+/** Input of a placement planner, and the moves it returns. Plain data, no I/O. */
 
-/** A model copy on an engine; `planned` is ordered or about to be, and not yet reported by the engine. */
-export interface Copy {
+/** A model replica on an engine; a `planned` one is ordered or about to be, and not yet reported by the engine. */
+export interface Replica {
   readonly model: string;
   readonly version: string;
   /** Accelerator memory of the model and its adapters, in MB. */
   readonly sizeMb: number;
   readonly state: "planned" | "loading" | "ready" | "unloading";
-  /** When this copy was first seen, epoch ms. */
+  /** When this replica was first reported, epoch ms. */
   readonly since: number;
 }
 
@@ -16,46 +16,46 @@
   /** Address of its engine. */
   readonly address: string;
   readonly capacityMb: number;
-  /** Streams it runs at once. */
+  /** Concurrent streams it can run. */
   readonly slots: number;
-  /** False while it should get no new copy (it failed an order lately). */
+  /** False while it should get no new replica (it failed an order recently). */
   readonly loadable: boolean;
-  readonly copies: readonly Copy[];
+  readonly residents: readonly Replica[];
 }
 
-/** One model that templates name, with its measured demand. Demand is in streams wanted at once. */
+/** One model that templates name, with its measured demand in concurrent streams. */
 export interface Need {
   readonly model: string;
   readonly version: string;
   readonly sizeMb: number;
-  /** Copies asked for by templates: kept while they fit. */
+  /** Replicas requested by templates, which are kept while they fit. */
   readonly replicas: number;
   /** Weight of a stream of this model, from the priority of the customers that use it. */
   readonly weight: number;
-  /** In [0, 1], from the template: 0 favours attainment, 1 favours few moves. */
+  /** In [0, 1], from the template: 0 favours deadline attainment, 1 favours few moves. */
   readonly moveWeight: number;
-  /** Demand now (seconds). */
+  /** Short-term demand, over the last seconds. */
   readonly demand: number;
-  /** Demand over the last minutes: what a copy is worth keeping for. */
+  /** Long-term demand, over the last minutes, which decides the value of keeping a replica. */
   readonly usual: number;
-  /** Requests waiting for a first copy. */
+  /** Requests waiting for a first replica. */
   readonly waiting: number;
-  /** When it was last asked for, epoch ms; 0 if never. */
+  /** Time of the last request, epoch ms; 0 if never. */
   readonly lastUsed: number;
-  /** Since when it is asked for without having any copy, epoch ms; 0 if it is not. */
+  /** Since when it has been requested without having any replica, epoch ms; 0 if it isn't. */
   readonly unmetSince: number;
 }
 
-/** Everything a planner decides from. */
+/** All input of a planner. */
 export interface Snapshot {
   readonly now: number;
   readonly accelerators: readonly Accelerator[];
   readonly needs: readonly Need[];
-  /** Loads that may be started now without passing the weight store's limits. */
+  /** Loads that may start now within the weight store's limits. */
   readonly loads: number;
 }
 
-/** A model to drop from an engine. */
+/** A model to unload from an engine. */
 export interface Unload {
   readonly kind: "unload";
   readonly address: string;
@@ -64,7 +64,7 @@
   readonly reason: string;
 }
 
-/** A model to load onto an engine once the `evict`ed ones have left it. */
+/** A model to load onto an engine once the `evict` ones are unloaded. */
 export interface Load {
   readonly kind: "load";
   readonly address: string;
@@ -76,5 +76,5 @@
 /** One decision of a planner. */
 export type Move = Load | Unload;
 
-/** Decides moves from a snapshot; a pure function, so a decision can be replayed and tested. */
+/** Plans moves from a snapshot; a pure function, so that a decision can be replayed and tested. */
 export type Planner = (snapshot: Snapshot) => Move[];
--- a/src/placement/upkeep.ts
+++ b/src/placement/upkeep.ts
@@ -1,16 +1,16 @@
-/** Moves every planner makes alike: unload what no template names, and swap old versions for new ones. */
+/** Moves common to all planners: unloading models that no template names, and replacing old versions. */
 import type { Draft, DraftAccelerator } from "./draft.ts";
-import type { Copy, Load, Need, Unload } from "./snapshot.ts";
+import type { Replica, Load, Need, Unload } from "./snapshot.ts";
 
-/** Unloads of copies no template names, and of old versions whose new one has all its copies ready. */
-export function retirements(draft: Draft): Unload[] {
+/** Unloads of models that no template names, and of old versions once all replicas of the new one are ready. */
+export function obsoleteUnloads(draft: Draft): Unload[] {
   const moves: Unload[] = [];
   for (const accelerator of draft.accelerators) {
-    for (const copy of accelerator.copies.filter((c) => c.state === "ready" || c.state === "loading")) {
-      const need = draft.need(copy.model);
-      if (need === undefined) moves.push(unload(accelerator, copy, "no-template-names-it"));
-      else if (copy.version !== need.version && rolledOut(draft, need))
-        moves.push(unload(accelerator, copy, "old-version"));
+    for (const replica of accelerator.residents.filter((c) => c.state === "ready" || c.state === "loading")) {
+      const need = draft.need(replica.model);
+      if (need === undefined) moves.push(unload(accelerator, replica, "no-template-names-it"));
+      else if (replica.version !== need.version && isRolledOut(draft, need))
+        moves.push(unload(accelerator, replica, "old-version"));
     }
   }
   for (const move of moves) {
@@ -21,44 +21,51 @@
 }
 
 /**
- * A swap of an old version in place. Guards "a rollout stalls" (every engine left holds the old version,
- * so none is free for the new one) without breaking "models stay reachable": the swap drops one copy
- * while the new one loads, so it is planned only while a ready copy stays elsewhere. The only copy of a
- * model is swapped when nothing else is left: its requests wait for the load, as for any first copy.
+ * In-place replacement of an old version. A rollout would stall if every remaining engine holds the old version,
+ * as none has memory for the new one. The replacement removes one replica while the new one loads, so it is
+ * planned only while another ready replica keeps the model reachable. A model's only replica is replaced if
+ * nothing else is possible: its requests wait for the load, as for any first replica.
  */
-export function swap(draft: Draft, need: Need): Load | undefined {
+export function replaceOldVersion(draft: Draft, need: Need): Load | undefined {
   for (const accelerator of draft.accelerators.filter((a) => a.loadable)) {
-    const old = accelerator.copies.find((copy) => copy.model === need.model);
+    const old = accelerator.residents.find((replica) => replica.model === need.model);
     if (old === undefined || old.version === need.version || old.state !== "ready") continue;
-    if (draft.free(accelerator) + old.sizeMb < need.sizeMb) continue;
+    if (draft.freeMb(accelerator) + old.sizeMb < need.sizeMb) continue;
     const served = draft.accelerators.some(
       (other) =>
-        other !== accelerator && other.copies.some((c) => c.model === need.model && c.state === "ready"),
+        other !== accelerator && other.residents.some((c) => c.model === need.model && c.state === "ready"),
     );
-    if (!served && draft.copies(need.model) > 1) continue;
+    if (!served && draft.replicaCount(need.model) > 1) continue;
     const evict = [unload(accelerator, old, "replace-old-version")];
     return { kind: "load", address: accelerator.address, need, evict, reason: "replace-old-version" };
   }
   return undefined;
 }
 
-/** An unload move of one copy. */
-export function unload(accelerator: DraftAccelerator, copy: Copy, reason: string): Unload {
-  return { kind: "unload", address: accelerator.address, model: copy.model, version: copy.version, reason };
+/** An unload move of one replica. */
+export function unload(accelerator: DraftAccelerator, replica: Replica, reason: string): Unload {
+  return {
+    kind: "unload",
+    address: accelerator.address,
+    model: replica.model,
+    version: replica.version,
+    reason,
+  };
 }
 
-/** Takes a load into the draft: its evictions leave, its copy is planned. */
-export function apply(draft: Draft, move: Load): void {
+/** Applies a load to the draft: removes its evictions and adds the planned replica. */
+export function applyLoad(draft: Draft, move: Load): void {
   const accelerator = draft.accelerators.find((a) => a.address === move.address);
   if (accelerator === undefined) return;
   for (const evicted of move.evict) draft.remove(accelerator, evicted.model);
   draft.add(accelerator, move.need);
 }
 
-function rolledOut(draft: Draft, need: Need): boolean {
+function isRolledOut(draft: Draft, need: Need): boolean {
   const ready = draft.accelerators.filter((accelerator) =>
-    accelerator.copies.some(
-      (copy) => copy.model === need.model && copy.version === need.version && copy.state === "ready",
+    accelerator.residents.some(
+      (replica) =>
+        replica.model === need.model && replica.version === need.version && replica.state === "ready",
     ),
   );
   return ready.length >= need.replicas;
--- a/src/platform/faults.ts
+++ b/src/platform/faults.ts
@@ -1,16 +1,16 @@
-/** Fault switches of the platform stand-in, for tests: down, slow, and writes applied with the answer lost. */
+/** Fault switches of the platform stand-in, for tests: unavailable, slow, and commits applied with a lost response. */
 import * as Schema from "effect/Schema";
 
-/** The switch board; each field is a fault in force while set. */
+/** The fault switches; each field is a fault that is active while set. */
 export const Faults = Schema.Struct({
-  /** Every call fails as if the service were unreachable. */
+  /** Every call fails as if the platform were unavailable. */
   down: Schema.Boolean,
-  /** Every call is answered this many ms late. */
+  /** Every call is delayed by this many ms. */
   slowMs: Schema.Number,
-  /** The next N commits take effect but their answer is lost. */
+  /** The next N commits take effect but their response is lost. */
   loseAcks: Schema.Number,
 });
-/** A decoded switch board. */
+/** Decoded fault switches. */
 export type Faults = typeof Faults.Type;
 
 /** All switches off. */
--- a/src/platform/hostList.ts
+++ b/src/platform/hostList.ts
@@ -1,4 +1,4 @@
-/** The host list stand-in: live and leaving backend hosts, seen by readers only after a lag. */
+/** The host list stand-in: live and leaving backend hosts, visible to readers after a lag. */
 import type { Host } from "../common/platformClient.ts";
 
 interface Change {
@@ -6,18 +6,18 @@
   readonly host: Host;
 }
 
-/** Hosts by address; a change becomes visible `lagMs` after it is made, as the real list lags reality. */
+/** Hosts by address; a change becomes visible after `lagMs`, to simulate the lag of the real host list. */
 export class HostList {
   private readonly changes: Change[] = [];
 
   constructor(private readonly lagMs = 0) {}
 
-  /** Records a host's new state (visible after the lag). */
+  /** Records a host's new state, which becomes visible after the lag. */
   set(host: Host): void {
     this.changes.push({ at: Date.now(), host });
   }
 
-  /** The hosts as a reader sees them now. */
+  /** The hosts currently visible to readers. */
   list(): Host[] {
     const visible = new Map<string, Host>();
     const horizon = Date.now() - this.lagMs;
--- a/src/platform/platformServer.ts
+++ b/src/platform/platformServer.ts
@@ -74,7 +74,10 @@
         const result = await handler(params);
         if (isCommit && this.faults.loseAcks > 0) {
           this.faults = { ...this.faults, loseAcks: this.faults.loseAcks - 1 };
-          throw new Failure("platform-unavailable", "commit applied but its answer was lost");
+          throw new Failure(
+            "platform-unavailable",
+            "commit applied but its response was lost (fault switch)",
+          );
         }
         return result;
       };
@@ -106,7 +109,7 @@
         this.hosts.set(decodeParams(Host, p));
         return Promise.resolve({ ok: true });
       }),
-      // Fault switches answer even while "down", so a test can switch the fault off again.
+      // The fault switches work even while the platform is "down", so that a test can clear the fault.
       "faults.set": (p) => {
         this.faults = decodeParams(Faults, p);
         this.log.warn({ event: "faults", faults: this.faults });
--- a/src/platform/weightStore.ts
+++ b/src/platform/weightStore.ts
@@ -1,26 +1,26 @@
-/** The weight store stand-in: rate-limited fetches of model weights (loads per second and loads at once). */
+/** The weight store stand-in: fetches of model weights, limited in rate and concurrency. */
 import { Failure } from "../common/errors.ts";
 import { TokenBucket } from "../common/tokenBucket.ts";
 
 /** Options of a `WeightStore`. */
 export interface WeightStoreOptions {
-  /** Fetches started per second, on average (token bucket refill). */
+  /** Average rate of fetches per second (token bucket refill). */
   readonly loadsPerSecond?: number;
-  /** Fetches running at once. */
+  /** Maximum number of concurrent fetches. */
   readonly concurrent?: number;
-  /** Simulated transfer speed in MB per second per fetch. */
+  /** Simulated transfer rate of each fetch, in MB per second. */
   readonly mbPerSecond?: number;
 }
 
 const defaults = { loadsPerSecond: 1, concurrent: 5, mbPerSecond: 20_000 };
 
-/** Hands out weights no faster than its limits; over them it answers `rate-limited` at once. */
+/** Serves weights within its limits; rejects fetches above them with `rate-limited` at once. */
 export class WeightStore {
   private readonly options: Required<WeightStoreOptions>;
   private readonly tokens: TokenBucket;
   private lastRefill = Date.now();
   private running = 0;
-  /** Fetches completed, for tests and metrics. */
+  /** Number of completed fetches. */
   fetches = 0;
 
   constructor(options: WeightStoreOptions = {}) {
@@ -28,7 +28,7 @@
     this.tokens = new TokenBucket(Math.max(1, this.options.concurrent));
   }
 
-  /** Fetches `sizeMb` of weights; resolves when transferred. */
+  /** Fetches `sizeMb` of weights; resolves when the transfer is complete. */
   async fetch(sizeMb: number): Promise<void> {
     this.refill();
     if (this.running >= this.options.concurrent || !this.tokens.take()) {
--- a/src/service/serviceServer.ts
+++ b/src/service/serviceServer.ts
@@ -1,6 +1,6 @@
 /**
- * The plain-service stand-in process (catalog, weighbridge, slips): `POST /calls/{name}` runs a call and
- * appends it to an execution log (`GET /log`), so a test can count how often each call ran.
+ * The plain service stand-in process (catalog, weighbridge, slips): `POST /calls/{name}` executes a call and
+ * appends it to an execution log (`GET /log`), so that a test can count the executions of each call.
  */
 import * as http from "node:http";
 import { DisposableStore } from "../common/disposables.ts";
@@ -9,7 +9,7 @@
 import { createLog } from "../common/log.ts";
 import { headers } from "../common/openai.ts";
 
-/** One execution of a call, as logged. */
+/** One entry of the execution log. */
 export interface Execution {
   readonly call: string;
   readonly idempotencyKey: string | null;
@@ -22,7 +22,7 @@
   readonly name?: string;
   readonly host?: string;
   readonly port?: number;
-  /** Time each call takes, in ms. */
+  /** Duration of each call, in ms. */
   readonly callMs?: number;
 }
 
