--- a/src/bench/loadBench.ts
+++ b/src/bench/loadBench.ts
@@ -1,6 +1,6 @@
 /**
- * The load bench: plays one seeded trace against engine stand-ins through entry nodes, under one policy.
- * Everything runs in this process on loopback; a run is bounded by its trace.
+ * The load benchmark: replays one seeded trace against engine stand-ins through entry nodes, under one policy.
+ * Everything runs in this process on loopback; the trace bounds the duration of a run.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { DisposableStore } from "../common/disposables.ts";
@@ -19,17 +19,17 @@
 export interface LoadRunOptions {
   readonly scenario: ScenarioName;
   readonly policy: PolicyName;
-  /** `moveWeight` of every template: 0 favours attainment, 1 favours few moves. */
+  /** `moveWeight` of every template: 0 favours deadline attainment, 1 favours few moves. */
   readonly moveWeight: number;
-  /** Traffic before the measured part, in which every policy finds its placement. */
+  /** Duration of the traffic before the measured part, in which a policy's placement settles, in ms. */
   readonly warmupMs: number;
-  /** Length of the measured part. */
+  /** Duration of the measured part, in ms. */
   readonly durationMs: number;
   readonly seed: number;
   readonly entries: number;
 }
 
-/** What one run gave, before it is summed up. */
+/** Raw results of one run. */
 export interface LoadRun {
   readonly options: LoadRunOptions;
   readonly outcomes: readonly Outcome[];
@@ -37,7 +37,7 @@
   /** Loads and unloads ordered during the run. */
   readonly loads: number;
   readonly unloads: number;
-  /** CPU of the whole process (stand-ins and callers included) as part of one core. */
+  /** CPU utilization of the whole process (stand-ins and callers included), as a fraction of one core. */
   readonly cpuShare: number;
   readonly rssMb: number;
   /** Control-plane bytes per second, per entry node. */
@@ -132,7 +132,7 @@
   return engines;
 }
 
-/** Every policy starts from the same placement: copies spread evenly in template order until memory is full. */
+/** Initial placement, the same for all policies: replicas spread evenly in template order until memory is full. */
 function fillEvenly(engines: readonly EngineServer[], trace: Trace): void {
   let placed = true;
   while (placed) {
@@ -154,7 +154,7 @@
 
 function templateOf(customer: Customer, trace: Trace, moveWeight: number, policy: PolicyName): Template {
   const { name, share, priority } = customer;
-  // A static placement is its templates' copy counts; the other policies are asked to keep one of each.
+  // A static placement consists of its templates' replica counts; the other policies keep at least one of each.
   const replicas = policies[policy].placement === "static" ? 64 : 1;
   const models = trace.models
     .filter((model) => model.customer === name)
--- a/src/bench/planBench.ts
+++ b/src/bench/planBench.ts
@@ -1,15 +1,15 @@
-/** The planning bench: time of one placement plan as engines and models grow, without any I/O. */
+/** The planning benchmark: duration of one placement plan by number of engines and models, without I/O. */
 import type { Accelerator, Replica, Need, Snapshot } from "../placement/snapshot.ts";
 import { planners } from "../placement/planners.ts";
 import { seededRandom, type RandomSource } from "./trace.ts";
 
-/** One size of pool. */
+/** Size of a pool. */
 export interface PoolSize {
   readonly engines: number;
   readonly models: number;
 }
 
-/** Time of plans at one size, in ms. */
+/** Planning durations at one pool size, in ms. */
 export interface PlanTimes extends PoolSize {
   readonly medianMs: number;
   readonly mostMs: number;
@@ -19,7 +19,7 @@
 const capacityMb = 200_000;
 const slots = 8;
 
-/** Measures `rounds` plans at each size, on pools three quarters full with one model in ten hot. */
+/** Measures `rounds` plans at each size, on pools with three quarters of their memory in use and one in ten models hot. */
 export function runPlanBench(sizes: readonly PoolSize[], rounds: number): PlanTimes[] {
   return sizes.map((size) => {
     const random = seededRandom(1);
--- a/src/bench/policies.ts
+++ b/src/bench/policies.ts
@@ -1,8 +1,8 @@
-/** The lookup table of what the load bench compares: the system, its baselines, and parts of it alone. */
+/** Lookup table of the policies that the load benchmark compares: the default, baselines, and partial variants. */
 import type { PlacementPolicy } from "../placement/planners.ts";
 import type { RoutingPolicy } from "../entry/routingPolicies.ts";
 
-/** One way to run the system. */
+/** One configuration of placement, routing and admission. */
 export interface Policy {
   readonly about: string;
   readonly placement: PlacementPolicy;
@@ -10,10 +10,10 @@
   readonly admission: boolean;
 }
 
-/** Policy name → how to run. */
+/** Policy name → configuration. */
 export const policies = {
   system: {
-    about: "what ships: placement by demand, balanced routing, admission",
+    about: "default: placement by demand, balanced routing, admission",
     placement: "demand",
     routing: "balanced",
     admission: true,
@@ -37,13 +37,13 @@
     admission: false,
   },
   "no-admission": {
-    about: "the system without admission",
+    about: "default without admission",
     placement: "demand",
     routing: "balanced",
     admission: false,
   },
   "lru-admission": {
-    about: "least-recently-used eviction with the system's routing and admission",
+    about: "least-recently-used eviction with the default routing and admission",
     placement: "lru",
     routing: "balanced",
     admission: true,
--- a/test/atMostOnce.property.spec.ts
+++ b/test/atMostOnce.property.spec.ts
@@ -14,10 +14,10 @@
   this.timeout(60_000);
 
   it("should run a non-idempotent call at most once and say not-run only when it did not run", async () => {
-    // A clerk retries one sugar-content slip again and again while the table service loses write
-    // acknowledgements (applied, answer lost, up to three in a row) and goes down and up between tries.
-    // Whatever the order, the slip prints at most once, every success carries the first ticket, and a
-    // "not run" answer is never given for a try during which the slip printed.
+    // A non-idempotent call is retried with the same key while the table service loses write acknowledgements
+    // (applied, response lost, up to three in a row) and fails and recovers between attempts. In any order, the
+    // call runs at most once, every success returns the first ticket, and an attempt during which the call ran
+    // never gets "not-run".
     const platform = new PlatformServer();
     const client = new PlatformClient({ url: `http://127.0.0.1:${await platform.start()}` });
     const service = new ServiceServer({ name: "slips", callMs: 1 });
