--- a/src/engine/orderExecutor.ts
+++ b/src/engine/orderExecutor.ts
@@ -22,7 +22,7 @@
 /** Decoded order faults. */
 export type OrderFaults = typeof OrderFaults.Type;
 
-/** Options of `Orders`. */
+/** Options of an `OrderExecutor`. */
 export interface OrderExecutorOptions {
   readonly memory: Memory;
   readonly log: Log;
--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -22,7 +22,7 @@
 /** Options of an `Admission`. */
 export interface AdmissionOptions {
   readonly times: ServiceTimes;
-  /** Off: every request is admitted (the bench's baselines). */
+  /** Off: every request is admitted (the baselines of the benchmark). */
   readonly enabled?: boolean;
 }
 
@@ -75,8 +75,12 @@
     if (expectedMs <= leftMs * (overShare ? overShareToleranceRatio : deadlineToleranceRatio)) return;
     const expectation = `${model} would take about ${Math.round(expectedMs)} ms of the ${Math.round(leftMs)} left`;
     if (overShare)
-      throw new Failure("over-share", `over the share of a full engine; ${expectation}`, requestId);
-    throw new Failure("overloaded", `engines are full; ${expectation}`, requestId);
+      throw new Failure(
+        "over-share",
+        `customer is over its share of a saturated engine; ${expectation}`,
+        requestId,
+      );
+    throw new Failure("overloaded", `engines are saturated; ${expectation}`, requestId);
   }
 
   private overShare(entitlement: Entitlement, engine: Engine): boolean {
--- a/src/entry/completionQuarantine.ts
+++ b/src/entry/completionQuarantine.ts
@@ -14,7 +14,7 @@
 /** RPC method of quarantine updates between entry nodes. */
 export const quarantineMethod = "quarantine.news";
 
-/** Options of `HeldRequests`. */
+/** Options of `CompletionQuarantine`. */
 export interface CompletionQuarantineOptions {
   readonly quarantine: Quarantine;
   readonly peers: Peers;
--- a/src/entry/completionResponse.ts
+++ b/src/entry/completionResponse.ts
@@ -13,7 +13,7 @@
   type FinishReason,
 } from "../common/openai.ts";
 
-/** Options of an `Answer`. */
+/** Options of a `CompletionResponse`. */
 export interface CompletionResponseOptions {
   readonly res: http.ServerResponse;
   readonly identity: CompletionIdentity;
--- a/src/entry/demandAggregator.ts
+++ b/src/entry/demandAggregator.ts
@@ -6,7 +6,7 @@
   readonly models: Map<string, ModelDemand>;
 }
 
-/** Options of a `DemandBoard`. */
+/** Options of a `DemandAggregator`. */
 export interface DemandAggregatorOptions {
   /** A node without a report for this long no longer counts, in ms. Nodes report at least every `fullReportEvery` periods. */
   readonly staleMs?: number;
--- a/src/entry/demandMeter.ts
+++ b/src/entry/demandMeter.ts
@@ -22,7 +22,7 @@
 const defaults = { riseHalfLifeMs: 1500, fallHalfLifeMs: 4000, usualHalfLifeMs: 60_000, fullReportEvery: 30 };
 /** A change of demand is reported if it exceeds both this ratio and this many streams. */
 const reportedChange = { ratio: 0.1, streams: 0.1 };
-/** The long-term average is scaled up for at least this fraction of its window. */
+/** Lower limit of the elapsed window fraction by which the long-term average is divided. */
 const minWindowRatio = 0.05;
 /** Demand below which an idle model's counters are removed, in streams. */
 const negligibleStreams = 0.0005;
@@ -111,7 +111,7 @@
 
   private demandOf(model: string, counters: ModelCounters, now: number): ModelDemand {
     const { waiting, lastUsed } = counters;
-    // The long-term average starts from 0; it is scaled up by the part of its window that this node has been running.
+    // The long-term average starts from 0; dividing by the elapsed fraction of its window corrects for that.
     const windowRatio = Math.max(
       minWindowRatio,
       1 - 0.5 ** ((now - this.startedAt) / this.options.usualHalfLifeMs),
--- a/src/entry/entryNode.ts
+++ b/src/entry/entryNode.ts
@@ -143,13 +143,13 @@
       address: advertise,
       ttlMs: this.options.leaseTtlMs,
     });
-    const placer = this.placer(lease);
-    const receive = (report: DemandReport): DemandReceipt => {
+    const placementController = this.placementController(lease);
+    const handleReport = (report: DemandReport): DemandReceipt => {
       const wantsFull = this.demandAggregator.record(report);
-      if (report.models.some((model) => model.waiting > 0)) placer.plan();
-      return { wantsFull, coming: placer.pendingModels() };
+      if (report.models.some((model) => model.waiting > 0)) placementController.plan();
+      return { wantsFull, coming: placementController.pendingModels() };
     };
-    const reporter = this.reporter(lease, receive);
+    const reporter = this.reporter(lease, handleReport);
     this.server = new EntryServer({
       config: this.config,
       completions: this.completions(reporter),
@@ -162,7 +162,7 @@
           this.quarantine.applyUpdate(decodeParams(QuarantineUpdate, params));
           return Promise.resolve({});
         },
-        "placement.demand": (params) => Promise.resolve(receive(decodeParams(DemandReport, params))),
+        "placement.demand": (params) => Promise.resolve(handleReport(decodeParams(DemandReport, params))),
       }),
       metrics: this.metrics,
       log: this.log,
@@ -173,7 +173,7 @@
     this.store.add(() => close(httpServer));
     const tasks = new Supervisor(
       `entry:${this.options.id}`,
-      [this.config, this.fleet, this.membership, placer, reporter],
+      [this.config, this.fleet, this.membership, placementController, reporter],
       this.log,
     );
     await tasks.start();
@@ -215,7 +215,7 @@
     });
   }
 
-  private placer(lease: Lease): PlacementController {
+  private placementController(lease: Lease): PlacementController {
     const { loadsPerSecond, loadsAtOnce, placement, pollMs } = this.options;
     return new PlacementController({
       config: this.config,
@@ -230,10 +230,10 @@
     });
   }
 
-  private reporter(lease: Lease, receive: (report: DemandReport) => DemandReceipt): DemandReporter {
+  private reporter(lease: Lease, handleReport: (report: DemandReport) => DemandReceipt): DemandReporter {
     return new DemandReporter({
       meter: this.meter,
-      handleReport: receive,
+      handleReport,
       lease,
       log: this.log,
       everyMs: this.options.pollMs,
--- a/src/entry/entryServer.ts
+++ b/src/entry/entryServer.ts
@@ -183,8 +183,8 @@
   }
 
   private deadlineMs(req: http.IncomingMessage): number {
-    const asked = Number(headerOf(req, headers.deadlineMs));
-    return Number.isFinite(asked) && asked > 0 ? asked : this.options.defaultDeadlineMs;
+    const requestedMs = Number(headerOf(req, headers.deadlineMs));
+    return Number.isFinite(requestedMs) && requestedMs > 0 ? requestedMs : this.options.defaultDeadlineMs;
   }
 
   private record(
--- a/src/entry/placementController.ts
+++ b/src/entry/placementController.ts
@@ -16,7 +16,7 @@
 import type { EntryMetrics } from "./metrics.ts";
 import { needsOf, type PlacedModel } from "./needs.ts";
 
-/** Options of a `Placer`. */
+/** Options of a `PlacementController`. */
 export interface PlacementControllerOptions {
   readonly config: ConfigWatcher;
   readonly fleet: Fleet;
@@ -54,7 +54,7 @@
   private readonly ordersInFlight = new Set<string>();
   /** Since when each model has been requested without having any replica, epoch ms. */
   private unmetSince = new Map<string, number>();
-  /** When each replica (engine, model, version) was first seen. */
+  /** When each replica (engine, model, version) was first reported. */
   private firstSeen = new Map<string, number>();
 
   constructor(options: PlacementControllerOptions) {
--- a/src/placement/demandPlanner.ts
+++ b/src/placement/demandPlanner.ts
@@ -30,14 +30,14 @@
 }
 
 const defaults = {
-  targetUse: 0.75,
+  targetUtilization: 0.75,
   horizonSeconds: 15,
-  requestSeconds: 0.3,
-  reachMs: 15_000,
-  reachMsPerWeight: 90_000,
+  waitingRequestSeconds: 0.3,
+  maxUnmetMs: 15_000,
+  maxUnmetMsPerMoveWeight: 90_000,
   moveCost: 0.05,
-  moveCostPerWeight: 6,
-  minStayMs: 4000,
+  moveCostPerSquaredMoveWeight: 6,
+  minResidenceMs: 4000,
 };
 type Options = typeof defaults;
 
@@ -105,7 +105,7 @@
 /** A first replica of a model, evicting the replicas that cost least to replace. */
 function firstReplica(draft: Draft, need: Need, options: Options): Replacement | undefined {
   const gain =
-    demandValue(need) * options.horizonSeconds + need.weight * need.waiting * options.requestSeconds;
+    demandValue(need) * options.horizonSeconds + need.weight * need.waiting * options.waitingRequestSeconds;
   const overdue = isOverdue(draft, need, options);
   if (gain <= movesCost(need, 2, options) && !overdue) return undefined;
   const choices = draft
@@ -125,9 +125,9 @@
  * worth the moves and would stay unreachable, so its next request gets it loaded at any cost.
  */
 function isOverdue(draft: Draft, need: Need, options: Options): boolean {
-  const reachMs = options.reachMs + options.reachMsPerWeight * need.moveWeight;
+  const maxUnmetMs = options.maxUnmetMs + options.maxUnmetMsPerMoveWeight * need.moveWeight;
   const unmetMs = need.unmetSince > 0 ? draft.snapshot.now - need.unmetSince : 0;
-  return need.waiting > 0 && unmetMs >= reachMs;
+  return need.waiting > 0 && unmetMs >= maxUnmetMs;
 }
 
 /** A load on the engine with the lowest expected utilization among those with enough free memory. */
@@ -149,11 +149,15 @@
   const allowRequested = draft.overcommitted;
   let best: Replacement | undefined;
   const overutilized = draft.snapshot.needs
-    .filter((need) => draft.holders(need.model).some((h) => utilization(h, loads) >= options.targetUse))
+    .filter((need) =>
+      draft.holders(need.model).some((h) => utilization(h, loads) >= options.targetUtilization),
+    )
     .sort((a, b) => b.weight * b.demand - a.weight * a.demand)
     .slice(0, maxCandidates);
   const free = draft.accelerators
-    .filter((accelerator) => accelerator.loadable && utilization(accelerator, loads) < options.targetUse)
+    .filter(
+      (accelerator) => accelerator.loadable && utilization(accelerator, loads) < options.targetUtilization,
+    )
     .sort((a, b) => utilization(a, loads) - utilization(b, loads))
     .slice(0, maxCandidates);
   for (const need of overutilized) {
@@ -163,8 +167,8 @@
       if (evicted === undefined) continue;
       const load = loadReplacing(accelerator, need, evicted, "demand");
       const gain = need.weight * excessReduction(draft, loads, accelerator, need, evicted, options);
-      const net = gain * options.horizonSeconds - replacementCost(draft, need, evicted, options);
-      if (net > (best?.netGain ?? 0)) best = { load, netGain: net };
+      const netGain = gain * options.horizonSeconds - replacementCost(draft, need, evicted, options);
+      if (netGain > (best?.netGain ?? 0)) best = { load, netGain };
     }
   }
   return best;
@@ -188,7 +192,9 @@
   allowRequested: boolean,
 ): Replica[] | undefined {
   const candidates = accelerator.residents
-    .filter((replica) => replica.state === "ready" && draft.snapshot.now - replica.since >= options.minStayMs)
+    .filter(
+      (replica) => replica.state === "ready" && draft.snapshot.now - replica.since >= options.minResidenceMs,
+    )
     .filter((replica) => allowRequested || isSpare(draft, replica))
     .sort((a, b) => retentionValue(draft, a) / a.sizeMb - retentionValue(draft, b) / b.sizeMb);
   return draft.selectEvictions(accelerator, need, candidates);
@@ -204,8 +210,8 @@
 function retentionValue(draft: Draft, replica: Replica): number {
   const need = draft.need(replica.model);
   if (need === undefined) return 0;
-  const holders = draft.replicaCount(replica.model);
-  return holders > 1 ? demandValue(need) / (holders * holders) : demandValue(need);
+  const replicas = draft.replicaCount(replica.model);
+  return replicas > 1 ? demandValue(need) / (replicas * replicas) : demandValue(need);
 }
 
 /**
@@ -218,12 +224,12 @@
 }
 
 function movesCost(need: Need, moves: number, options: Options): number {
-  return moves * (options.moveCost + options.moveCostPerWeight * need.moveWeight ** 2);
+  return moves * (options.moveCost + options.moveCostPerSquaredMoveWeight * need.moveWeight ** 2);
 }
 
 /** Streams above an engine's target utilization, which wait or slow down the others. */
 function excessStreams(accelerator: DraftAccelerator, load: number, options: Options): number {
-  return Math.max(0, load - options.targetUse * accelerator.slots);
+  return Math.max(0, load - options.targetUtilization * accelerator.slots);
 }
 
 /**
