--- a/src/bench/policies.ts
+++ b/src/bench/policies.ts
@@ -4,7 +4,7 @@
 
 /** One configuration of placement, routing and admission. */
 export interface Policy {
-  readonly about: string;
+  readonly description: string;
   readonly placement: PlacementPolicy;
   readonly routing: RoutingPolicy;
   readonly admission: boolean;
@@ -13,37 +13,37 @@
 /** Policy name → configuration. */
 export const policies = {
   system: {
-    about: "default: placement by demand, balanced routing, admission",
+    description: "default: placement by demand, balanced routing, admission",
     placement: "demand",
     routing: "balanced",
     admission: true,
   },
   "static-rr": {
-    about: "baseline: static even placement, round-robin routing",
+    description: "baseline: static even placement, round-robin routing",
     placement: "static",
     routing: "round-robin",
     admission: false,
   },
   "lru-ll": {
-    about: "baseline: least-recently-used eviction, least-loaded routing",
+    description: "baseline: least-recently-used eviction, least-loaded routing",
     placement: "lru",
     routing: "least-loaded",
     admission: false,
   },
   "demand-only": {
-    about: "placement by demand alone, least-loaded routing, no admission",
+    description: "placement by demand alone, least-loaded routing, no admission",
     placement: "demand",
     routing: "least-loaded",
     admission: false,
   },
   "no-admission": {
-    about: "default without admission",
+    description: "default without admission",
     placement: "demand",
     routing: "balanced",
     admission: false,
   },
   "lru-admission": {
-    about: "least-recently-used eviction with the default routing and admission",
+    description: "least-recently-used eviction with the default routing and admission",
     placement: "lru",
     routing: "balanced",
     admission: true,
--- a/src/bench/scenarios.ts
+++ b/src/bench/scenarios.ts
@@ -22,7 +22,7 @@
 
 /** A pool and its traffic. */
 export interface Scenario {
-  readonly about: string;
+  readonly description: string;
   readonly engines: number;
   readonly capacityMb: number;
   readonly slots: number;
@@ -69,7 +69,7 @@
 /** Scenario name → scenario. Time is compressed: one hour of production traffic corresponds to a phase of 10 s. */
 export const scenarios = {
   andes: {
-    about: "Andes today: 13 models on 6 engines, every model fits, demand moves tenfold between them",
+    description: "Andes today: 13 models on 6 engines, every model fits, demand moves tenfold between them",
     ...todayPool,
     ...engineShape,
     ...trafficShape,
@@ -79,7 +79,7 @@
     peakRate: 90,
   },
   ovaseker: {
-    about: "Ovaşeker today: 13 models on 6 engines, two loads at once",
+    description: "Ovaşeker today: 13 models on 6 engines, two loads at once",
     ...todayPool,
     ...engineShape,
     ...trafficShape,
@@ -89,7 +89,7 @@
     peakRate: 80,
   },
   hundreds: {
-    about: "Both customers, 200 models on 12 engines that hold about 110 of them at once",
+    description: "Both customers, 200 models on 12 engines that hold about 110 of them at once",
     engines: 12,
     capacityMb: 200_000,
     ...engineShape,
--- a/src/engine/memory.ts
+++ b/src/engine/memory.ts
@@ -56,13 +56,13 @@
     if (existing !== undefined) {
       throw new Failure("conflict", `${order.model} ${existing.version} is still ${existing.state} here`);
     }
-    const need = order.sizeMb + adaptersMb(order);
+    const requiredMb = order.sizeMb + adaptersMb(order);
     // The check and the reservation run in one step on the engine's single thread, so concurrent orders cannot
     // both pass the check and over-commit the memory.
-    if (this.usedMb + need > this.capacityMb) {
+    if (this.usedMb + requiredMb > this.capacityMb) {
       throw new Failure(
         "over-capacity",
-        `${order.model} needs ${need} MB, ${this.capacityMb - this.usedMb} MB free`,
+        `${order.model} needs ${requiredMb} MB, ${this.capacityMb - this.usedMb} MB free`,
       );
     }
     this.revision += 1;
@@ -70,7 +70,7 @@
       resident: {
         model: order.model,
         version: order.version,
-        sizeMb: need,
+        sizeMb: requiredMb,
         adapters: order.adapters.map((adapter) => adapter.name),
         state: "loading",
       },
--- a/src/placement/upkeep.ts
+++ b/src/placement/upkeep.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * In-place replacement of an old version. A rollout would stall if every remaining engine holds the old version,
- * as none has memory for the new one. The replacement removes one replica while the new one loads, so it is
+ * In-place replacement of an old version. A rollout would stall if every remaining engine holds the old version, as
+ * an engine with a replica of a model accepts no other one. The replacement removes one replica while the new one loads, so it is
  * planned only while another ready replica keeps the model reachable. A model's only replica is replaced if
  * nothing else is possible: its requests wait for the load, as for any first replica.
  */
@@ -31,11 +31,11 @@
     const old = accelerator.residents.find((replica) => replica.model === need.model);
     if (old === undefined || old.version === need.version || old.state !== "ready") continue;
     if (draft.freeMb(accelerator) + old.sizeMb < need.sizeMb) continue;
-    const served = draft.accelerators.some(
+    const reachable = draft.accelerators.some(
       (other) =>
         other !== accelerator && other.residents.some((c) => c.model === need.model && c.state === "ready"),
     );
-    if (!served && draft.replicaCount(need.model) > 1) continue;
+    if (!reachable && draft.replicaCount(need.model) > 1) continue;
     const evict = [unload(accelerator, old, "replace-old-version")];
     return { kind: "load", address: accelerator.address, need, evict, reason: "replace-old-version" };
   }
