--- a/src/entry/demandAggregator.ts
+++ b/src/entry/demandAggregator.ts
@@ -8,7 +8,7 @@
 
 /** Options of a `DemandAggregator`. */
 export interface DemandAggregatorOptions {
-  /** A node without a report for this long no longer counts, in ms. Nodes report at least every `fullReportEvery` periods. */
+  /** A node without a report for this long isn't counted, in ms. Nodes report at least every `fullReportEvery` periods. */
   readonly staleMs?: number;
 }
 
--- a/src/placement/demandPlanner.ts
+++ b/src/placement/demandPlanner.ts
@@ -83,7 +83,7 @@
   readonly netGain: number;
 }
 
-/** The replacement with the highest net gain: a first replica of a missing model, or an additional one of an overutilized model. */
+/** The load with the highest net gain: a first replica of a missing model, or an additional one of an overutilized model. */
 function bestReplacement(draft: Draft, missing: readonly Need[], options: Options): Load | undefined {
   const replacements = missing
     .filter((need) => draft.replicaCount(need.model) === 0)
--- a/src/placement/draft.ts
+++ b/src/placement/draft.ts
@@ -63,7 +63,10 @@
     return this.accelerators.filter((a) => a.loadable && !a.residents.some((c) => c.model === need.model));
   }
 
-  /** The first of `candidates` (replicas on `accelerator`) that together free enough memory for `need`; undefined if all of them don't. */
+  /**
+   * The first of `candidates` (replicas on `accelerator`) that together free enough memory for `need`; undefined if
+   * all of them together don't.
+   */
   selectEvictions(
     accelerator: DraftAccelerator,
     need: Need,
--- a/src/placement/upkeep.ts
+++ b/src/placement/upkeep.ts
@@ -22,9 +22,9 @@
 
 /**
  * In-place replacement of an old version. A rollout would stall if every remaining engine holds the old version, as
- * an engine with a replica of a model accepts no other one. The replacement removes one replica while the new one loads, so it is
- * planned only while another ready replica keeps the model reachable. A model's only replica is replaced if
- * nothing else is possible: its requests wait for the load, as for any first replica.
+ * an engine with a replica of a model accepts no other one. The replacement removes one replica while the new one
+ * loads, so it is planned only while another ready replica keeps the model reachable. A model's only replica is
+ * replaced if nothing else is possible: its requests wait for the load, as for any first replica.
  */
 export function replaceOldVersion(draft: Draft, need: Need): Load | undefined {
   for (const accelerator of draft.accelerators.filter((a) => a.loadable)) {
--- a/test/faultSchedules.property.spec.ts
+++ b/test/faultSchedules.property.spec.ts
@@ -134,7 +134,8 @@
       seed: 20261202,
       numRuns: 10,
       endOnFailure: true,
-      // An order is delayed and its sender killed; the next lease holder, unaware of it, assigns the memory to another model.
+      // An order is delayed and its sender killed; the next lease holder, unaware of it, assigns the memory to
+      // another model.
       examples: [
         [
           [
