--- a/src/bench/policies.ts
+++ b/src/bench/policies.ts
@@ -1,49 +1,49 @@
-/** The lookup table of what the load bench compares: the system, its baselines, and parts of it alone. */
+/** Lookup table of the policies that the load benchmark compares: the default, baselines, and partial variants. */
 import type { PlacementPolicy } from "../placement/planners.ts";
 import type { RoutingPolicy } from "../entry/routingPolicies.ts";
 
-/** One way to run the system. */
+/** One configuration of placement, routing and admission. */
 export interface Policy {
-  readonly about: string;
+  readonly description: string;
   readonly placement: PlacementPolicy;
   readonly routing: RoutingPolicy;
   readonly admission: boolean;
 }
 
-/** Policy name → how to run. */
+/** Policy name → configuration. */
 export const policies = {
   system: {
-    about: "what ships: placement by demand, balanced routing, admission",
+    description: "default: placement by demand, balanced routing, admission",
     placement: "demand",
     routing: "balanced",
     admission: true,
   },
   "static-rr": {
-    about: "baseline: static even placement, round-robin routing",
+    description: "baseline: static even placement, round-robin routing",
     placement: "static",
     routing: "round-robin",
     admission: false,
   },
   "lru-ll": {
-    about: "baseline: least-recently-used eviction, least-loaded routing",
+    description: "baseline: least-recently-used eviction, least-loaded routing",
     placement: "lru",
     routing: "least-loaded",
     admission: false,
   },
   "demand-only": {
-    about: "placement by demand alone, least-loaded routing, no admission",
+    description: "placement by demand alone, least-loaded routing, no admission",
     placement: "demand",
     routing: "least-loaded",
     admission: false,
   },
   "no-admission": {
-    about: "the system without admission",
+    description: "default without admission",
     placement: "demand",
     routing: "balanced",
     admission: false,
   },
   "lru-admission": {
-    about: "least-recently-used eviction with the system's routing and admission",
+    description: "least-recently-used eviction with the default routing and admission",
     placement: "lru",
     routing: "balanced",
     admission: true,
--- a/src/cli/benchCommand.ts
+++ b/src/cli/benchCommand.ts
@@ -2,7 +2,7 @@
 import * as fs from "node:fs/promises";
 import * as commander from "commander";
 import * as Schema from "effect/Schema";
-import { runControlBench, type Point } from "../bench/controlBench.ts";
+import { runControlBench, type BenchPoint } from "../bench/controlBench.ts";
 import { runLoad, type LoadRunOptions } from "../bench/loadBench.ts";
 import { summaryOf, tableOf, type LoadSummary } from "../bench/loadReport.ts";
 import { runPathBench } from "../bench/pathBench.ts";
@@ -12,7 +12,7 @@
 import { Failure } from "../common/errors.ts";
 import { checkSettings, CountSetting } from "./settings.ts";
 
-const defaultPoints: readonly Point[] = [
+const defaultPoints: readonly BenchPoint[] = [
   { engines: 4, entries: 2, changesPerSecond: 0 },
   { engines: 16, entries: 2, changesPerSecond: 0 },
   { engines: 64, entries: 2, changesPerSecond: 0 },
--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -103,7 +103,7 @@
   /** Whether the node knows the other nodes, from the store or from peers, or has waited long enough. */
   readonly membershipKnown: () => boolean;
   /** Maximum number of nodes by which a zone grows in one step. */
-  readonly mostPerStep?: number;
+  readonly maxPerStep?: number;
 }
 
 /** Owns the node's activation state: active or standby. */
@@ -189,7 +189,7 @@
       self: this.options.nodeStatus(),
       active: table.active(this.options.readUpToMs()),
       knownNodes: table.knownNodes,
-      mostPerStep: this.options.mostPerStep,
+      maxPerStep: this.options.maxPerStep,
     };
     if (this.isActive) {
       const turn = turnsBeforeRetirement(view);
