--- a/src/serving/adapterPlan.ts
+++ b/src/serving/adapterPlan.ts
@@ -13,10 +13,11 @@
   readonly evictable: readonly string[];
   /** Expected time to first token, ms, from the prompt tokens and requests in flight. */
   readonly expectedMs: number;
+  /** No order is sent to it now: one is in progress, or it is ejected. `AdapterView` leaves such engines out. */
   readonly busy: boolean;
 }
 
-/** A planned load at `engineId`, after `evict` was evicted. */
+/** An adapter load at `engineId`; `evict` is unloaded first if set. */
 export interface AdapterMove {
   readonly engineId: string;
   readonly evict: string | undefined;
--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -1,15 +1,15 @@
 /**
  * Decides whether a request is sent to its engine now, waits on this node, or is refused. If the load exceeds the
- * prefill capacity of a model's engines and all requests were sent at once, every prompt would be processed a little
- * at a time, all first tokens would come after their callers have disconnected, and all of that work would be lost.
- * With requests held back here, those that are sent are served in time, the more urgent ones first, and the others
- * can still be refused without having run.
+ * prefill capacity of a model's engines and all requests are sent at once, every prompt is processed a little at a
+ * time, all first tokens come after their callers have disconnected, and all of that work is lost. With requests
+ * queued here, those that are sent are served in time, the more urgent ones first, and the others can still be
+ * refused without having run.
  */
 import { willMissDeadline } from "./sendRules.ts";
 
-/** A request is sent if the first token of one without prefill is expected within this ratio of its target. */
+/** A request is sent if the queue at its engine delays the first token by at most this ratio of its target. */
 const targetRatio = 0.9;
-/** The same as a ratio of the time that the caller still waits, for targets that are already missed. */
+/** The same as a ratio of the caller's remaining time, for targets that are already missed. */
 const remainingRatio = 0.3;
 /** How much earlier requests of a route are sent than those of the next lower priority. */
 const priorityStepRatio = 0.25;
@@ -19,8 +19,8 @@
  */
 const priorityReserveRatio = 0.06;
 /**
- * Requests of the highest priority beyond an engine's slots, as a ratio of the slots: some running requests end at
- * any moment.
+ * Requests of the highest priority that may be sent beyond an engine's slots, as a ratio of the slots: some running
+ * requests end at any moment.
  */
 const overbookRatio = 0.05;
 /**
@@ -37,7 +37,7 @@
   readonly queueMs: number;
   /** The same including the prefill of the request itself. */
   readonly expectedFirstByteMs: number;
-  /** Time until the caller disconnects without a first byte, ms, and that timeout in all. */
+  /** Time until the caller disconnects without a first byte, ms, and its whole timeout for that. */
   readonly timeLeftMs: number;
   readonly callerTimeoutMs: number;
   readonly targetMs: number;
--- a/src/serving/backendServer.ts
+++ b/src/serving/backendServer.ts
@@ -21,6 +21,7 @@
   zone: Schema.String,
   /** Maximum concurrent requests. */
   slots: Schema.Number,
+  /** It is shutting down. */
   leaving: Schema.Boolean,
   /** Time until the server terminates, if it was given notice, ms. */
   goneInMs: Schema.optionalKey(Schema.Number),
@@ -36,7 +37,7 @@
 /** A decoded backend server. */
 export type BackendServer = typeof BackendServer.Type;
 
-/** Is the first one a later incarnation than the second, for servers with the same id? */
+/** Whether the first one is a later incarnation than the second, for servers with the same id. */
 export function startedAfter(
   later: Pick<BackendServer, "startedAtMs">,
   earlier: Pick<BackendServer, "startedAtMs">,
@@ -49,7 +50,7 @@
   return startedAtMs === undefined ? id : `${id}@${startedAtMs}`;
 }
 
-/** Does the server hold the model, and the adapter if one is named? */
+/** Whether the server holds the model, and the adapter if one is named. */
 export function holds(server: BackendServer, model: string, adapter: string | undefined): boolean {
   const resident = server.residents.find((r) => r.model === model);
   if (resident === undefined) return false;
--- a/src/serving/clockJumpDetector.ts
+++ b/src/serving/clockJumpDetector.ts
@@ -14,14 +14,14 @@
 
 /** Compares the clocks at each check. */
 export class ClockJumpDetector {
-  private offset: number | undefined;
+  private offsetMs: number | undefined;
 
   /** True if the wall clock moved against the monotonic clock since the last check, in either direction. */
   detectJump(clocks: ClockReadings): boolean {
-    const offset = clocks.wallMs - clocks.monotonicMs;
-    const previous = this.offset;
-    this.offset = offset;
-    return previous !== undefined && Math.abs(offset - previous) > minJumpMs;
+    const offsetMs = clocks.wallMs - clocks.monotonicMs;
+    const previousMs = this.offsetMs;
+    this.offsetMs = offsetMs;
+    return previousMs !== undefined && Math.abs(offsetMs - previousMs) > minJumpMs;
   }
 }
 
--- a/src/serving/demandMeter.ts
+++ b/src/serving/demandMeter.ts
@@ -5,22 +5,23 @@
  */
 
 /** Time constants of the averages, ms. */
-const fastMs = 2_500;
-const slowMs = 8_000;
-/** Expected requests per `fastMs` at which a lull counts as half significant. */
+const fastTimeConstantMs = 2_500;
+const slowTimeConstantMs = 8_000;
+/** Expected requests per `fastTimeConstantMs` at which a lull counts as half significant. */
 const significantRequests = 8;
 /**
- * How far a change is extrapolated, as a part of the difference between an average and the next longer one:
+ * How far a change is extrapolated, as a ratio of the difference between an average and the next longer one:
  * demand moves between models over several seconds, and a load takes a second or more.
  */
 const riseExtrapolation = 0.6;
 const fallExtrapolation = 0.3;
-/** Lower limit of the estimate as a part of the slow average, where few requests are expected. */
+/** Lower limit of the estimate as a ratio of the slow average, where few requests are expected. */
 const lullFloorRatio = 0.6;
-/** Demand below this counts as none, engine ms per s: one short request within `slowMs`. */
+/** Demand below this counts as none, engine ms per s: one short request within `slowTimeConstantMs`. */
 export const negligibleDemand = 2;
 
 interface Average {
+  /** Requested engine time per second, ms. */
   fast: number;
   slow: number;
   /** Requests per second, from the slow average. */
@@ -46,16 +47,16 @@
   /** Records a request for `engineMs` of work. */
   add(key: string, engineMs: number, nowMs: number): void {
     const average = this.decayed(key, nowMs);
-    average.fast += (engineMs * 1000) / fastMs;
-    average.slow += (engineMs * 1000) / slowMs;
-    average.requests += 1000 / slowMs;
+    average.fast += (engineMs * 1000) / fastTimeConstantMs;
+    average.slow += (engineMs * 1000) / slowTimeConstantMs;
+    average.requests += 1000 / slowTimeConstantMs;
   }
 
   /** Requested engine time per second, ms, extrapolated to the next seconds. */
   level(key: string, nowMs: number): number {
     if (!this.averages.has(key)) return 0;
     const { fast, slow, requests } = this.decayed(key, nowMs);
-    const expected = (requests * this.nodeCount() * fastMs) / 1000;
+    const expected = (requests * this.nodeCount() * fastTimeConstantMs) / 1000;
     const lullDoubt = significantRequests / (significantRequests + expected);
     return Math.max(0, extrapolated(fast, slow), lullFloorRatio * lullDoubt * slow);
   }
@@ -74,9 +75,9 @@
   private decayed(key: string, nowMs: number): Average {
     const known = this.averages.get(key) ?? { fast: 0, slow: 0, requests: 0, atMs: nowMs };
     const passed = Math.max(0, nowMs - known.atMs);
-    known.fast *= Math.exp(-passed / fastMs);
-    known.slow *= Math.exp(-passed / slowMs);
-    known.requests *= Math.exp(-passed / slowMs);
+    known.fast *= Math.exp(-passed / fastTimeConstantMs);
+    known.slow *= Math.exp(-passed / slowTimeConstantMs);
+    known.requests *= Math.exp(-passed / slowTimeConstantMs);
     known.atMs = nowMs;
     this.averages.set(key, known);
     return known;
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -1,6 +1,6 @@
 /**
  * The backend servers as this gateway node knows them: their registrations, corrected by orders that are
- * newer than the registration and by what was observed while the store was unreachable.
+ * newer than the registration and by what was observed while the store was unavailable.
  */
 import { holds, startedAfter, type BackendServer, type Resident } from "./backendServer.ts";
 import { ServerNotices } from "./serverNotices.ts";
@@ -13,8 +13,8 @@
 const expiryGraceMs = 2_200;
 
 /**
- * A removed server is not taken for registered again for this long, ms, on account of a backup of the store
- * that still names it: the store drops the entry of a server after three missed heartbeats.
+ * After a restore, a registration from the backup doesn't bring back a removed server for this long, ms: by
+ * then the store has dropped the entry of a dead server, which it does after three missed heartbeats.
  */
 const removalHoldMs = 6_000;
 
@@ -24,7 +24,7 @@
  */
 const changePrecedenceMs = 2_300;
 
-/** Additional time for an unload that waits for running requests, ms: the longest time-out of a route. */
+/** Additional time for an unload that waits for running requests, ms: the longest timeout of a route. */
 const maxUnloadMs = 15_000;
 
 /** A change of one engine's memory by an order, known before its next registration. */
@@ -89,13 +89,13 @@
 export class Fleet {
   private readonly entries = new Map<string, Entry>();
   /**
-   * Removed while the store was unreachable: when they count as gone, ms, and the store's position of the
-   * removal.
+   * Servers whose removal awaits the end of the grace period: when they count as gone, ms, and the store's
+   * position of the removal.
    */
   private readonly expiring = new Map<string, { untilMs: number; asOf: StorePosition }>();
   /** Removed servers: the store's position of the removal, and the revision at which it was applied. */
   private readonly removals = new Map<string, { asOf: StorePosition; revision: number }>();
-  /** Registrations that may be older than the known state, and how long they are held back, ms. */
+  /** Registrations that may be older than the known state, and until when they are held back, ms. */
   private readonly heldBack = new Map<string, { registration: Registration; untilMs: number }>();
   private era: KnownEra = { start: initialPosition, sinceMs: Number.NEGATIVE_INFINITY };
   /** The newest revision of a removal that is no longer remembered. */
@@ -217,7 +217,7 @@
     return this.drop(id, asOf);
   }
 
-  /** The store is reachable again after an outage: removals take effect only after a grace period. */
+  /** The store is available again after an outage: removals take effect only after a grace period. */
   storeRecovered(nowMs: number): void {
     this.graceUntilMs = Math.max(this.graceUntilMs, nowMs + expiryGraceMs);
   }
@@ -319,7 +319,7 @@
     this.refresh(entry, nowMs);
   }
 
-  /** The server answered that it doesn't hold the model or adapter: takes effect like an unload order. */
+  /** The server responded that it doesn't hold the model or adapter: takes effect like an unload order. */
   markAbsent(server: BackendServer, model: string, adapter: string | undefined, nowMs: number): void {
     const { id: serverId, startedAtMs } = server;
     this.applyChange({ serverId, startedAtMs, model, adapter, present: false }, nowMs);
@@ -356,12 +356,12 @@
     );
   }
 
-  /** Every known server, including those that shut down. */
+  /** Every known server, including those that are shutting down. */
   all(): BackendServer[] {
     return [...this.entries.values()].map((entry) => entry.server);
   }
 
-  /** Does any available server hold it? */
+  /** Whether any available server holds the model, and the adapter if one is named. */
   hasHolder(service: string, model: string, adapter: string | undefined): boolean {
     return this.available(service).some((server) => holds(server, model, adapter));
   }
--- a/src/serving/hostSettings.ts
+++ b/src/serving/hostSettings.ts
@@ -22,7 +22,7 @@
   /** Messages between gateway nodes (UDP and TCP). */
   peers: Endpoint,
   metrics: Endpoint,
-  /** Where to look for other gateway nodes while the store is unavailable. */
+  /** Addresses at which to find other gateway nodes while the store is unavailable. */
   seeds: Schema.Array(Endpoint),
   store: Endpoint,
   /** Minimum time between the orders of two holders of the placement lease, ms. */
@@ -33,9 +33,13 @@
   drainMs: Schema.Number,
   /** Longest time for which callers cache a response of the directory, s. */
   maxTtlS: Schema.Number,
+  /** Retries earned per request, and how many may accumulate, over all nodes. */
   retryRatio: Schema.Number,
   retryBurst: Schema.Number,
-  /** Rate limit of the weight store: loads started within the window, over all engines. */
+  /**
+   * Rate limit of the weight store: loads started within the window, s, over all engines may exceed the configured
+   * rate by the overage factor.
+   */
   ceilingWindowS: Schema.Number,
   ceilingOverage: Schema.Number,
 });
--- a/src/serving/leaseRules.ts
+++ b/src/serving/leaseRules.ts
@@ -72,14 +72,14 @@
   /** Time since the candidate first saw the row in its current state, ms. */
   readonly unchangedMs: number;
   /**
-   * The candidate was the last holder, so recently that nobody can have taken the lease in an era that was
+   * Whether the candidate was the last holder, so recently that nobody can have taken the lease in an era that was
    * lost.
    */
   readonly heldLast: boolean;
   readonly storeNowMs: number;
 }
 
-/** Was the row written in the current era rather than restored from a backup? */
+/** Whether the row was written in the current era rather than restored from a backup. */
 export function isFromEra(row: LeaseRow | undefined, era: number): boolean {
   return era === 0 || row?.era === era;
 }
@@ -106,7 +106,7 @@
   return Math.max(row?.token ?? 0, era * tokensPerEra) + 1;
 }
 
-/** Is this the same host, possibly after a restart? */
+/** Whether the candidate is the host that the row names as the holder, possibly after a restart. */
 export function isSameHost(row: LeaseRow, candidate: LeaseCandidate): boolean {
   return row.holder === candidate.host && row.ip === candidate.ip;
 }
@@ -130,9 +130,9 @@
     return this.sentMs > 0;
   }
 
-  /** The store's time at the local monotonic time `steadyMs`, or slightly later. */
-  at(steadyMs: number): number {
-    return this.readingMs + (steadyMs - this.sentMs);
+  /** The store's time at the local monotonic time `monotonicMs`, or slightly later. */
+  at(monotonicMs: number): number {
+    return this.readingMs + (monotonicMs - this.sentMs);
   }
 
   /** The local monotonic time at which the store's clock shows `storeMs`, or slightly earlier. */
--- a/src/serving/loadRateLimiter.ts
+++ b/src/serving/loadRateLimiter.ts
@@ -1,6 +1,6 @@
 /** Keeps loads from the weight store within its rate limit over all engines, even if orders are lost. */
 
-/** Limit of loads that start within any window: `perS` x `windowMs` x `overage` + `extraLoads`. */
+/** Limit of loads that start within any window: `perS` x `windowMs` / 1000 x `overage` + `extraLoads`. */
 export interface LoadRateLimiterOptions {
   readonly windowMs: number;
   readonly overage: number;
--- a/src/serving/membership/activeSet.ts
+++ b/src/serving/membership/activeSet.ts
@@ -56,9 +56,8 @@
 }
 
 /**
- * Returns whether a standby node should become active: the number of turns to wait first, as nodes ahead of it may be
- * dead, or undefined if it isn't needed. All nodes that are needed are activated in the same turn, without
- * coordinating.
+ * Number of turns after which a standby node becomes active, as nodes ahead of it may be dead; undefined if it isn't
+ * needed. All nodes that are needed are activated in the same turn, without coordinating.
  */
 export function turnsBeforeActivation({
   self,
@@ -98,8 +97,8 @@
 }
 
 /**
- * Returns whether an active node may return to standby: the number of nodes of its zone that go before it, or
- * undefined if it has to stay. The nodes ahead of it must be able to carry the load alone, so several nodes may
+ * Number of turns after which an active node may return to standby, one for each node of its zone that goes before it;
+ * undefined if it has to stay active. The nodes ahead of it must be able to carry the load alone, so several nodes may
  * return to standby at once.
  */
 export function turnsBeforeRetirement({ self, active, knownNodes }: MembershipView): number | undefined {
--- a/src/serving/membership/peerTable.ts
+++ b/src/serving/membership/peerTable.ts
@@ -246,7 +246,7 @@
     };
   }
 
-  /** A node didn't answer: it counts as dead until its status is received again. */
+  /** A node didn't respond: it counts as dead until its status is received again. */
   markDead(ip: string): void {
     this.peers.delete(ip);
     this.rosters.delete(ip);
@@ -317,8 +317,8 @@
 
   /** Listed nodes and peers. */
   private otherNodes(): [string, Member][] {
-    const heardFrom = [...this.peers.values()].map(({ status }): [string, Member] => [status.ip, status]);
-    return [...heardFrom, ...this.nodes];
+    const peerMembers = [...this.peers.values()].map(({ status }): [string, Member] => [status.ip, status]);
+    return [...peerMembers, ...this.nodes];
   }
 
   /**
--- a/src/serving/modelWaitEstimator.ts
+++ b/src/serving/modelWaitEstimator.ts
@@ -1,7 +1,7 @@
 /**
- * Estimates how long it takes until a model that no engine holds is loaded. For callers of rarely used models
- * and demand that moves: a request that would time out during the load is refused at once with a Retry-After
- * time rather than held.
+ * Estimates how long it takes until a model that no engine holds is loaded. Handles rarely used models and
+ * demand that moves between models: a request that would time out during the load is refused at once with a
+ * Retry-After time rather than held.
  */
 import type { BackendServer } from "./backendServer.ts";
 import type { Model } from "./configuration.ts";
--- a/src/serving/outlierDetector.ts
+++ b/src/serving/outlierDetector.ts
@@ -28,7 +28,7 @@
   readonly ejected: boolean;
   /** A recent connection attempt failed. */
   readonly unreachable: boolean;
-  /** Part of its requests that fail, moving average. */
+  /** Ratio of its requests that fail, moving average. */
   readonly failureShare: number;
   /** Observed over expected time to first byte, moving average; 1 is as expected. */
   readonly slowdown: number;
@@ -104,8 +104,8 @@
   }
 
   private eject(record: ResponseRecord, times: number, nowMs: number): void {
-    const time = Math.min(maxEjectionMs, firstEjectionMs * 2 ** Math.min(times, 8));
-    record.ejectedUntilMs = nowMs + time;
+    const ejectionMs = Math.min(maxEjectionMs, firstEjectionMs * 2 ** Math.min(times, 8));
+    record.ejectedUntilMs = nowMs + ejectionMs;
   }
 
   private record(serverId: string): ResponseRecord {
--- a/src/serving/overload.ts
+++ b/src/serving/overload.ts
@@ -16,8 +16,8 @@
 const overloadEnterRatio = 0.8;
 const overloadExitRatio = 0.3;
 /**
- * Requests older than this ratio of their caller's timeout are shed, but none below the minimum age, ms, which is too
- * low to mean anything.
+ * Requests older than this ratio of their caller's timeout are shed, but none below the minimum age, ms: the age is an
+ * upper bound, so a low one says nothing.
  */
 const shedTimeoutRatio = 0.3;
 const minShedAgeMs = 60;
--- a/src/serving/permits/permits.ts
+++ b/src/serving/permits/permits.ts
@@ -74,7 +74,7 @@
       const waiting = Math.max(0, permits.waiting.size - available);
       const spare = available === 0 && permits.spareUntilMs > nowMs;
       const isWanted = waiting > 0 || spare;
-      // The issuer is also told that no permit is needed any more, or it would grant one for a request that is gone.
+      // Also reports that no permit is needed any more, or the issuer would grant one for a request that is gone.
       const mustReport = isWanted || permits.requestReported;
       permits.requestReported = isWanted;
       if (limit?.perS === undefined || !mustReport) return [];
--- a/src/serving/placementCost.ts
+++ b/src/serving/placementCost.ts
@@ -13,6 +13,7 @@
  */
 const loadCost = 0.3;
 const congestionCost = 10;
+/** Utilization beyond which the cost of an engine grows linearly, and that cost per unit of load. */
 const fullLoad = 0.75;
 const overloadCost = 7.5;
 /** A model in no engine: cost per requested engine second, and per waiting request up to a limit. */
@@ -114,7 +115,7 @@
     return this.model(model)?.holders ?? [];
   }
 
-  /** Applies an order that was given to the engine. */
+  /** Applies an order that was sent to the engine. */
   replace(index: number, before: EngineView, after: EngineView): void {
     const [had, has] = [heldBy(before), heldBy(after)];
     for (const name of has) this.setHolder(name, index, true);
--- a/src/serving/placementPlan.ts
+++ b/src/serving/placementPlan.ts
@@ -11,7 +11,7 @@
  * Cost of a load, in the units of `Placement.cost`: from the weight store, and from weights cached on the
  * engine's host.
  */
-const storeLoadCost = 0.03;
+const weightStoreLoadCost = 0.03;
 const cachedLoadCost = 0.01;
 /** Additional cost of each evicted model. */
 const evictionCost = 0.02;
@@ -49,8 +49,8 @@
 
 /**
  * Gains are discounted by the delay of the move: halved after this time, s. Callers of a busy model wait two
- * to three seconds, so a load from cached weights (1 s) serves callers that a load from the weight store (6
- * s) loses.
+ * to three seconds, so a load from cached weights (1 s) serves callers that a load from the weight store
+ * (6 s) loses.
  */
 const gainHalfLifeS = 2;
 /** Duration of a load from cached weights, and of an unload while requests run, s. */
@@ -174,7 +174,7 @@
     const engine = this.engines[index];
     if (engine === undefined) return [];
     const isCached = engine.cachedModels.has(model.name);
-    const loadCost = isCached ? cachedLoadCost : storeLoadCost;
+    const loadCost = isCached ? cachedLoadCost : weightStoreLoadCost;
     const loadS = isCached ? cachedLoadS : model.loadS;
     const adapters = this.adapterCost(engine);
     return this.evictionsFor(engine, model).map((evicted) => {
@@ -269,7 +269,7 @@
   }
 }
 
-/** Can the engine be given the model? */
+/** Whether the model can be assigned to the engine. */
 function isAssignable(engine: EngineView, model: string): boolean {
   if (engine.reservedFor !== undefined) return false;
   return !engine.models.has(model) && !engine.pendingLoads.has(model) && !engine.recentlyChanged.has(model);
--- a/src/serving/retryBudget.ts
+++ b/src/serving/retryBudget.ts
@@ -38,6 +38,7 @@
 
 /** Ratio of the burst that is divided between the nodes; the rest is slack for nodes that restart. */
 const sharedRatio = 0.9;
+
 /** A token bucket that requests fill and retries drain. */
 export class RetryBudget {
   private readonly options: Required<RetryBudgetOptions>;
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -17,10 +17,10 @@
 const concurrentRequestCostMs = 4;
 /** Assumed time of one plain call, ms, before any measurement. */
 export const plainCallMs = 40;
-/** Part of the shared prefix that is assumed to be cached on the server preferred by its hash. */
+/** Ratio of the shared prefix that is assumed to be cached on the server preferred by its hash. */
 const cachedRatio = 0.9;
 /**
- * Up to this part of its slots in use an engine counts as lightly loaded: its decoding steps are hardly
+ * Up to this ratio of its slots in use an engine counts as lightly loaded: its decoding steps are hardly
  * longer.
  */
 const lightLoadRatio = 0.5;
@@ -39,7 +39,7 @@
   readonly zone: string;
   /** Random number from 0 to 1, drawn for each choice: breaks ties between equal servers. */
   readonly randomDraw: number;
-  /** Servers that already had this request and are not asked again. */
+  /** Servers that were already sent this request and are not tried again. */
   readonly tried: ReadonlySet<string>;
   readonly promptTokens: number;
   /** Prefill factor of the requested model. */
--- a/src/serving/storePosition.ts
+++ b/src/serving/storePosition.ts
@@ -12,7 +12,7 @@
 /** Before any write. */
 export const initialPosition: StorePosition = { era: 0, version: 0 };
 
-/** Is the first position later than the second? */
+/** Whether the first position is later than the second. */
 export function isAfter(later: StorePosition, earlier: StorePosition): boolean {
   if (later.era !== earlier.era) return later.era > earlier.era;
   return later.version > earlier.version;
