--- a/src/gateway/activationTask.ts
+++ b/src/gateway/activationTask.ts
@@ -37,8 +37,8 @@
  */
 const pollIntervalMs = 1_200;
 /**
- * The same for an active node, ms: it receives the others' heartbeats anyway, but nodes that became active at the same
- * moment don't know each other and learn of each other only from a third one.
+ * Interval between an active node's polls, ms. It receives the others' heartbeats anyway, but nodes that became active
+ * at the same moment don't know each other and learn of each other only from a third one.
  */
 const activePollIntervalMs = 4_800;
 /** An active node polls at every check until it has been active for this long, ms: the polled node may be as new. */
@@ -199,8 +199,8 @@
       return;
     }
     const turn = turnsBeforeActivation(view);
-    // Prevents more nodes than planned from becoming active: during a step, reports of utilization from before and after
-    // it are mixed.
+    // Prevents more nodes than planned from becoming active: while the planned ones do so, utilization reports from before
+    // and after are mixed.
     if (turn !== undefined && turn < this.turn) this.conditionSinceMs = undefined;
     this.turn = turn ?? 0;
     const heldMs = this.conditionHeldMs(turn !== undefined, now);
@@ -223,7 +223,7 @@
     this.decisionTimer.unref();
   }
 
-  /** How long the condition has held, ms. */
+  /** How long another active node has been needed, or this one has been surplus, ms; negative infinity if neither holds. */
   private conditionHeldMs(holds: boolean, now: number): number {
     if (!holds) {
       this.conditionSinceMs = undefined;
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -63,7 +63,7 @@
       readonly kind: "streamed";
       readonly firstByteMs: number;
       readonly timing: StreamTiming;
-      /** The end of the stream was marked by its framing rather than by the end of the connection. */
+      /** Whether the end of the stream was marked by its framing rather than by the end of the connection. */
       readonly framed: boolean;
     }
   | { readonly kind: "not-run"; readonly metadata: ResponseMetadata }
@@ -302,7 +302,7 @@
       : events.filter((event) => this.isUndelivered(event.id));
   }
 
-  /** Whether the event was not already delivered from another server. */
+  /** Whether the event is still to be delivered; the caller has the earlier ones from another attempt or connection. */
   private isUndelivered(id: number | undefined): boolean {
     return (
       id === undefined ||
--- a/src/gateway/callerConnection.ts
+++ b/src/gateway/callerConnection.ts
@@ -33,7 +33,8 @@
       this.isDisconnected = true;
       this.disconnectCallback?.();
     };
-    // The response closes several event-loop iterations after the caller has ended its connection.
+    // The response closes several event-loop iterations after the caller has ended its connection, so the end of the socket
+    // is observed too.
     const { socket } = req;
     socket.once("end", handleDisconnect);
     res.on("close", () => {
--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -17,7 +17,7 @@
 const idleMarginMs = 2_000;
 /** Limits until a configuration is loaded. */
 const defaultLimits = { headerTimeoutMs: 10_000, idleTimeoutMs: 60_000 };
-/** Initial fill of a node's share of the retry budget; a slack of a tenth of the whole budget covers it. */
+/** Initial fill of a node's share of the retry budget, covered by the undivided tenth of the whole budget. */
 const initialFillRatio = 0.1;
 /** Streams that arrive later than this after the stop signal are refused, ms: they may not complete in time. */
 const acceptStreamsMs = 2_500;
@@ -114,9 +114,10 @@
       runLocks,
       caller,
       budgetFor: (service) => this.budgetFor(service),
-      refuseStreams: () =>
+      shouldRefuseStreams: () =>
         this.stopping !== undefined && performance.now() - this.stopping.sinceMs > acceptStreamsMs,
-      refuseAll: () => this.stopping !== undefined && this.stopping.endMs - performance.now() < refuseAllMs,
+      shouldRefuseAll: () =>
+        this.stopping !== undefined && this.stopping.endMs - performance.now() < refuseAllMs,
     });
     this.exchanges.add(exchange);
     try {
--- a/src/gateway/engineController.ts
+++ b/src/gateway/engineController.ts
@@ -44,7 +44,7 @@
  */
 const maxRegistrationAgeMs = 2_500;
 
-/** An order not executed after this time never will be, ms; late orders took up to 12 s. */
+/** An order that was not executed within this time never will be, ms; late orders took up to 12 s. */
 const orderExpiryMs = 15_000;
 /** Lag of an engine report, ms: it covers orders accepted at least this long before; observed lags are some 100 ms. */
 const reportLagMs = 500;
@@ -328,7 +328,7 @@
    * order may have taken the slot that the next order was planned for. With the newly learned sequence the engine could
    * not detect that the order is outdated, so it has to be planned again.
    */
-  private async sequenceChangedUnseen(): Promise<boolean> {
+  private async detectSequenceChange(): Promise<boolean> {
     const planned = this.sequence;
     try {
       await this.requestReport();
@@ -370,7 +370,7 @@
   private async send(request: OrderRequest): Promise<EngineOrderOutcome> {
     const { engines, log, metrics, holder, tokenFor } = this.options;
     const { target } = this;
-    if (this.reportNeeded && (await this.sequenceChangedUnseen())) return "outdated";
+    if (this.reportNeeded && (await this.detectSequenceChange())) return "outdated";
     const fencingToken = tokenFor(target.serverId);
     if (fencingToken === undefined) return "no-lease";
     const { action, model, adapter } = request;
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -33,9 +33,9 @@
   readonly budgetFor: (service: string) => RetryBudget;
   readonly caller: CallerConnection;
   /** Whether to refuse new streams because the node stops before they could complete. */
-  readonly refuseStreams: () => boolean;
+  readonly shouldRefuseStreams: () => boolean;
   /** Whether to refuse all new requests because the node is about to exit. */
-  readonly refuseAll: () => boolean;
+  readonly shouldRefuseAll: () => boolean;
 }
 
 /** Serves one request until its final response. */
@@ -119,7 +119,7 @@
     this.service = service;
     this.deadlines = deadlinesOf(route, this.metadata.deadlineMs, this.arrivedMs);
     if (this.shouldShed()) throw this.overloadedFailure();
-    if (this.options.refuseAll() || (route.kind === "stream" && this.options.refuseStreams())) {
+    if (this.options.shouldRefuseAll() || (route.kind === "stream" && this.options.shouldRefuseStreams())) {
       throw new Failure("draining", "this node is shutting down; use another address");
     }
     this.selector = new ServerSelector({
--- a/src/gateway/gatewayContext.ts
+++ b/src/gateway/gatewayContext.ts
@@ -1,4 +1,4 @@
-/** State shared by the components of a gateway node: estimates that decide about requests, and change events. */
+/** State shared by the components of a gateway node: estimates used to route and admit requests, and change events. */
 import type { Log } from "../common/log.ts";
 import { Emitter } from "../common/emitter.ts";
 import { ReadWatermark } from "../common/readWatermark.ts";
@@ -41,7 +41,7 @@
 
 /** Requests models and adapters from the holder of the placement lease. */
 export interface PlacementClient {
-  /** Resolves once the adapter was ordered or can't be; its location is then in the fleet. */
+  /** Resolves once the adapter was ordered, with its location in the fleet, or can't be ordered now. */
   ensureAdapter(service: string, model: string, adapter: string): Promise<void>;
   /** Reports promptly to the lease holder that a request waits for a model. */
   demandChanged(): void;
@@ -128,10 +128,7 @@
 }
 
 /** Creates the components in their initial state. */
-export function createGatewayContext({
-  nodeCount: nodes,
-  ...options
-}: GatewayContextOptions): GatewayContext {
+export function createGatewayContext({ nodeCount, ...options }: GatewayContextOptions): GatewayContext {
   const notices = new ServerNotices();
   return {
     ...options,
@@ -140,8 +137,8 @@
     fleetChanged: new Emitter(),
     loads: new LoadTracker(),
     outliers: new OutlierDetector(),
-    demand: new DemandMeter({ nodeCount: nodes }),
-    adapterDemand: new DemandMeter({ nodeCount: nodes }),
+    demand: new DemandMeter({ nodeCount }),
+    adapterDemand: new DemandMeter({ nodeCount }),
     waitingRequests: new RequestCounter(),
     adaptersRunning: new RequestCounter(),
     modelsRunning: new RequestCounter(),
--- a/src/gateway/gatewayNode.ts
+++ b/src/gateway/gatewayNode.ts
@@ -45,7 +45,7 @@
 /** Minimum time a stopping node keeps serving, ms, until callers' cached directory responses expire. */
 const minDrainMs = 2_600;
 /** Waiting requests get their final response this long before exit, ms, so that it reaches the callers. */
-const finalResponsesMs = 300;
+const finalResponseLeadMs = 300;
 /** Part of the grace period reserved for the exit itself, ms. */
 const exitMarginMs = 700;
 
@@ -347,7 +347,7 @@
       const now = performance.now();
       if (now >= exitDeadlineMs || (now - startedMs >= minDrainMs && this.callers.activeRequests === 0))
         break;
-      if (now >= exitDeadlineMs - finalResponsesMs) this.callers.abandonAll();
+      if (now >= exitDeadlineMs - finalResponseLeadMs) this.callers.abandonAll();
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
     log.info({
@@ -388,7 +388,7 @@
     this.quarantine.wake();
   }
 
-  /** The node that owns a key of the fleet-wide key space. */
+  /** The node that owns a key: grants the permits of a server, or the run lock of a request fingerprint. */
   private ownerOf(key: string): PeerAddress {
     const mayOwn = this.ready && this.activation.active;
     return this.peerTable.owner(key, this.options.settings.peers, mayOwn, this.readUpToMs);
--- a/src/gateway/leaseTask.ts
+++ b/src/gateway/leaseTask.ts
@@ -74,7 +74,7 @@
   private held: HeldLease | undefined;
   private readonly storeClock = new StoreClock();
   private readonly jumpDetector = new ClockJumpDetector();
-  /** The row as last read or written, with an undefined value if there is none; undefined while it isn't known. */
+  /** The row as last read or written; its value is undefined if the row is absent. Undefined while the state is unknown. */
   private lastRead: LeaseRowRead | undefined;
   /** When the row was first seen in its present version, ms. */
   private unchangedSinceMs = Number.NEGATIVE_INFINITY;
@@ -102,7 +102,7 @@
     });
   }
 
-  /** The fencing token if an order may be sent to the engine now, which is then taken as sent; undefined otherwise. */
+  /** Returns the fencing token if an order may be sent to the engine now, and records the order as sent; else undefined. */
   tokenForOrder(serverId: string): number | undefined {
     this.checkForClockJump();
     const now = performance.now();
--- a/src/gateway/peerTask.ts
+++ b/src/gateway/peerTask.ts
@@ -32,7 +32,7 @@
 const loadsPeriodPerPeerMs = 14;
 /** Interval at which a standby node checks whether its callers need anything from the lease holder, ms. */
 const standbyCheckMs = 500;
-/** One in this many heartbeats goes to unresponsive and listed nodes too. */
+/** One in this many heartbeats also goes to unresponsive nodes and to nodes known only from settings or the store's list. */
 const broadcastEvery = 4;
 /** An unanswered datagram is sent again after this time, ms: some ten round trips between zones. */
 const resendMs = 60;
--- a/src/gateway/permitTask.ts
+++ b/src/gateway/permitTask.ts
@@ -15,7 +15,7 @@
 /** Minimum time between two permit requests, ms. */
 const minRequestIntervalMs = 30;
 /** Unmet demand is sent again after this time, ms: datagrams are lost, and the issuer learns that the demand persists. */
-const repeatMs = 100;
+const resendMs = 100;
 /** Minimum time until permits are granted again, ms. */
 const minGrantDelayMs = 5;
 
@@ -55,7 +55,7 @@
   private readonly addresses = new Map<string, PeerAddress>();
   private requestTimer: NodeJS.Timeout | undefined;
   private lastRequestMs = Number.NEGATIVE_INFINITY;
-  /** The request timer runs for a change of demand, not for a repetition. */
+  /** The request timer runs for a change of demand, not for a resend. */
   private requestScheduled = false;
   private grantTimer: NodeJS.Timeout | undefined;
   private stopped = false;
@@ -107,7 +107,7 @@
       if (issuer.ip === self.ip) this.processRequests(self, forIssuer);
       else peers.notifyOne("permits.ask", { ...addressOf(self), asks: forIssuer }, issuer);
     }
-    this.requestAfter(repeatMs);
+    this.requestAfter(resendMs);
   }
 
   private byIssuer(
--- a/src/gateway/quarantineCheck.ts
+++ b/src/gateway/quarantineCheck.ts
@@ -62,7 +62,7 @@
     const { quarantine } = this.options.context;
     if (outcome.kind === "broken" && outcome.connectionLost) {
       this.recordConnectionLoss(server, outcome.reason, outcome.lastEvent, sentMs);
-      this.lock?.markCut();
+      this.lock?.markConnectionLost();
     }
     const now = performance.now();
     if (hasResponded(outcome)) quarantine.recordResponse(incarnationOf(server), sentMs, now);
@@ -71,7 +71,7 @@
     this.dispose();
   }
 
-  /** Long prompts are hardly ever sent twice by different callers and cost the most to hash. */
+  /** Whether a duplicate is likely: long prompts are hardly ever sent by two callers, and cost the most to hash. */
   private get isLikelyRepeated(): boolean {
     return (this.options.body?.length ?? 0) <= maxLikelyRepeatedBodyBytes;
   }
--- a/src/gateway/runLockTask.ts
+++ b/src/gateway/runLockTask.ts
@@ -12,7 +12,7 @@
 /** Period at which a lock is renewed, ms. */
 const renewMs = 400;
 /** Delay of the release after a lost connection, ms: the report of it has to reach the other nodes first. */
-const cutReleaseDelayMs = 80;
+const lossReleaseDelayMs = 80;
 
 const LockParams = Schema.Struct({ node: Schema.String, fingerprint: Schema.String });
 
@@ -30,7 +30,7 @@
 /** A lock held by this node; dispose to release it. */
 export interface RunLock extends Disposable {
   /** The connection was lost before the response was complete: the lock is released once other nodes can know of it. */
-  markCut(): void;
+  markConnectionLost(): void;
 }
 
 /** Owns the locks that this node holds and those that it grants. */
@@ -74,7 +74,7 @@
   private startRenewal(fingerprint: string): RunLock {
     const timer = setInterval(() => void this.requestLock(fingerprint), renewMs);
     this.timers.add(timer);
-    let isCut = false;
+    let connectionLost = false;
     const release = (): void => {
       clearInterval(timer);
       this.timers.delete(timer);
@@ -82,11 +82,11 @@
       void this.releaseLock(fingerprint);
     };
     return {
-      markCut: () => {
-        isCut = true;
+      markConnectionLost: () => {
+        connectionLost = true;
       },
       dispose: () => {
-        if (isCut) setTimeout(release, cutReleaseDelayMs);
+        if (connectionLost) setTimeout(release, lossReleaseDelayMs);
         else release();
       },
     };
--- a/src/gateway/serverSelector.ts
+++ b/src/gateway/serverSelector.ts
@@ -13,7 +13,7 @@
 const recheckIntervalMs = 250;
 /** Interval between admission checks while engines are busy, ms: a few decoding steps. */
 const admissionRecheckMs = 50;
-/** Retry-After while servers are full or missing, s: slightly more than one placement round. */
+/** Retry-After while servers are saturated or missing, s: slightly more than one placement round. */
 export const defaultRetryS = 0.5;
 /** Fraction of the caller's timeout to wait for an adapter; an adapter that gets a slot is loaded immediately. */
 const adapterWaitRatio = 0.7;
--- a/test/gateway/activeSet.spec.ts
+++ b/test/gateway/activeSet.spec.ts
@@ -58,8 +58,8 @@
   });
 
   it("should replace a lost node with a standby node", async () => {
-    // An active host loses power. Without a replacement, callers were directed to fewer nodes with each lost host, and in
-    // the end to none.
+    // Regression: active hosts that lost power were not replaced, so callers were directed to fewer nodes with each lost
+    // host, and in the end to none.
     const lost = at(3);
     await lost.node.dispose();
     cluster.nodes.splice(3, 1);
@@ -71,8 +71,8 @@
   });
 
   it("should apply a configuration, and stop using a server that shuts down, on standby nodes too", async () => {
-    // Callers with an old directory response still use a standby node, which doesn't read the store. It served them by a
-    // replaced configuration, and sent their requests to a server that had left.
+    // Callers with an old directory response still use a standby node, which doesn't read the store. Regression: it
+    // served them by a replaced configuration, and sent their requests to a server that had left.
     await waitUntil(async () => (await statusOf(standby(), "/old/")) === 200, 3_000);
     cluster.configure(configuration(2, [route({ pathPrefix: "/new/" })]));
     await waitUntil(async () => (await statusOf(standby(), "/new/")) === 200, 1_900);
@@ -86,8 +86,8 @@
 
 describe("a small host that holds the placement lease", () => {
   it("should step down once enough hosts with more CPU capacity are active", async () => {
-    // One small host starts before the others and takes the lease. It went on planning for hundreds of models on a third of
-    // a core for as long as it lived.
+    // Regression: a small host that started before the others took the lease, and planned placement for hundreds of models
+    // on a third of a core for as long as it lived.
     const cluster = new GatewayCluster();
     cluster.configure(configuration(1, [route()]));
     const small = await cluster.startNode(undefined, { strength: 0.3 });
--- a/test/gateway/utilization.spec.ts
+++ b/test/gateway/utilization.spec.ts
@@ -22,7 +22,7 @@
   });
 
   it("should follow a burst within about half a second", () => {
-    // A mean over 2 s that was updated every 2 s showed a burst up to 4 s late.
+    // Regression: a mean over 2 s that was updated every 2 s showed a burst up to 4 s late.
     pass(5_000, 0.1);
     expect(utilization.recent).to.equal(0.1);
     pass(700, 1);
