--- a/test/gateway/crashes.spec.ts
+++ b/test/gateway/crashes.spec.ts
@@ -116,8 +116,8 @@
     for (const node of standby) await waitUntil(async () => (await directoryOf(node)).length === 12);
     await waitUntil(async () => (await Promise.all(pool.nodes.map(holdsLease))).includes(true));
     await sendRepeatedly(poisonBody, 18, standby);
-    // A quarantine reaches standby nodes with the next poll by an active node (0.6 s); retries come every
-    // 0.15 s meanwhile.
+    // A quarantine reaches standby nodes at the next check of an active node, which notifies them (every 0.6 s);
+    // retries come every 0.15 s meanwhile.
     expect(pool.terminated).to.have.length.at.most(maxCrashes + maxFurtherSends);
     expect(await retryStatus(active)).to.equal(503);
     expect(pool.terminated).to.have.length.at.most(maxCrashes + maxFurtherSends);
