--- a/src/bench/loadBench.ts
+++ b/src/bench/loadBench.ts
@@ -90,7 +90,7 @@
   const before = await countersOf(entries);
   const cpu = process.cpuUsage();
   const started = performance.now();
-  const outcomes = (await allOutcomes).filter((outcome) => outcome.arrival.at >= options.warmupMs);
+  const outcomes = (await allOutcomes).filter((outcome) => outcome.arrival.atMs >= options.warmupMs);
   const seconds = (performance.now() - started) / 1000;
   const used = process.cpuUsage(cpu);
   const after = await countersOf(entries);
@@ -171,7 +171,7 @@
   const started = performance.now();
   const calls: Promise<Outcome>[] = [];
   for (const [i, arrival] of trace.arrivals.entries()) {
-    const wait = arrival.at - (performance.now() - started);
+    const wait = arrival.atMs - (performance.now() - started);
     if (wait > 0) await sleep(wait);
     const entry = entries[i % entries.length];
     if (entry !== undefined) calls.push(caller.send(`http://127.0.0.1:${entry.port}`, arrival));
--- a/src/bench/planBench.ts
+++ b/src/bench/planBench.ts
@@ -37,10 +37,10 @@
 
 function poolOf(size: PoolSize, random: RandomSource): Snapshot {
   const now = Date.now();
-  const held = Math.floor((capacityMb / modelMb) * 0.75);
+  const replicasPerEngine = Math.floor((capacityMb / modelMb) * 0.75);
   const accelerators = Array.from({ length: size.engines }, (_, e): Accelerator => {
-    const replicas = Array.from({ length: held }, (_unused, c): Replica => ({
-      model: `m${(e * held + c) % size.models}`,
+    const replicas = Array.from({ length: replicasPerEngine }, (_unused, c): Replica => ({
+      model: `m${(e * replicasPerEngine + c) % size.models}`,
       version: "v1",
       sizeMb: modelMb,
       state: "ready",
@@ -48,9 +48,9 @@
     }));
     return { address: `e${e}`, capacityMb, slots, loadable: true, residents: replicas };
   });
-  const perModel = (size.engines * slots * 0.6) / size.models;
+  const meanDemand = (size.engines * slots * 0.6) / size.models;
   const needs = Array.from({ length: size.models }, (_, m): Need => {
-    const demand = perModel * random() * (random() < 0.1 ? 10 : 1);
+    const demand = meanDemand * random() * (random() < 0.1 ? 10 : 1);
     return {
       model: `m${m}`,
       version: "v1",
@@ -59,11 +59,11 @@
       weight: 1,
       moveWeight: 0.2,
       demand,
-      usual: perModel / 2,
+      usual: meanDemand / 2,
       waiting: 0,
       lastUsed: now,
       unmetSince: 0,
     };
   });
-  return { now, accelerators, needs, loads: 5 };
+  return { now, accelerators, needs, maxLoads: 5 };
 }
--- a/src/cli/roleCommands.ts
+++ b/src/cli/roleCommands.ts
@@ -180,7 +180,7 @@
       process.stdout.write(`${JSON.stringify({ role: "engine", port })}\n`);
       stopOnSignal(async () => {
         server.drain();
-        await server.drained(s.drainMs);
+        await server.waitUntilIdle(s.drainMs);
         await server.dispose();
       });
     });
--- a/src/common/hostLog.ts
+++ b/src/common/hostLog.ts
@@ -2,7 +2,7 @@
  * JSON-lines logging of a long-lived process to standard output. Lines go through a bounded asynchronous
  * buffer: if the reader of standard output stalls, log lines are dropped and requests are not blocked.
  */
-// A CommonJS module: its default export is the one that both Node and the bundler resolve.
+// sonic-boom is a CommonJS module: its default export is the one that both Node and the bundler resolve.
 import * as sonic from "sonic-boom";
 import * as tslog from "tslog";
 import { LogRateLimiter } from "./logRateLimiter.ts";
--- a/src/common/http.ts
+++ b/src/common/http.ts
@@ -15,7 +15,7 @@
 /** Largest request body accepted by default, in bytes. */
 export const defaultBodyLimitBytes = 1024 * 1024;
 
-/** Reads the whole body as JSON; rejects with `body-too-large` past `limit` bytes and `bad-request` on bad JSON. */
+/** Reads the whole body as JSON; rejects with `body-too-large` past `limitBytes` and `bad-request` on invalid JSON. */
 export async function readJson(
   req: http.IncomingMessage,
   limitBytes = defaultBodyLimitBytes,
--- a/src/common/loopTask.ts
+++ b/src/common/loopTask.ts
@@ -2,7 +2,7 @@
 import { Emitter } from "./emitter.ts";
 import type { Task } from "./supervisor.ts";
 
-/** A task that runs a loop from its start until it is disposed; the loop has to end once `stopped` is true. */
+/** A task that runs a loop from its start until it is disposed; the loop must end once `stopped` is true. */
 export abstract class LoopTask implements Task {
   protected stopped = false;
   private readonly wakeRequested = new Emitter<undefined>();
--- a/src/common/platformClient.ts
+++ b/src/common/platformClient.ts
@@ -1,4 +1,7 @@
-/** Client of the platform's table service, object store, weight store and host list (JSON-RPC). */
+/**
+ * JSON-RPC client of the platform (table service, weight store and host list) as the stand-in in `src/platform` serves
+ * it. Used by everything but gateway nodes, which reach the platform through the adapter in `platform/` at the root.
+ */
 import * as Schema from "effect/Schema";
 import { RpcClient, type RpcTraffic } from "./rpc.ts";
 import * as table from "./table.ts";
--- a/src/common/readWatermark.ts
+++ b/src/common/readWatermark.ts
@@ -90,7 +90,7 @@
     return performance.now() - this.lagSince(this.acceptedMark);
   }
 
-  /** True if more connections wait to be accepted than the process can serve; new ones are best closed immediately. */
+  /** Whether more connections wait to be accepted than the process can serve; new ones are best closed immediately. */
   get acceptOverloaded(): boolean {
     const { backlog } = this;
     if (backlog === undefined || backlog.accepts < overloadMinAccepts) return false;
--- a/src/common/supervisor.ts
+++ b/src/common/supervisor.ts
@@ -41,7 +41,7 @@
 }
 
 /**
- * Runs `step` every `everyMs` until disposed, never two concurrently. If a step throws, the error is logged and the
+ * Runs `step` every `everyMs` until disposed, never concurrently with itself. If a step throws, the error is logged and the
  * loop continues: one failed step (a platform outage, a crashed peer) must not end the task.
  */
 export class Loop {
--- a/src/common/table.ts
+++ b/src/common/table.ts
@@ -1,4 +1,4 @@
-/** Messages of the platform table service: versioned rows, conditional writes, multi-row transactions. */
+/** Messages of the platform's table service: versioned rows, conditional writes, multi-row transactions. */
 import * as Schema from "effect/Schema";
 
 /** One row: `version` starts at 1 on creation and increases by one with each write; `revision` is the commit sequence. */
--- a/src/common/template.ts
+++ b/src/common/template.ts
@@ -42,7 +42,7 @@
 /** A decoded priority. */
 export type Priority = typeof Priority.Type;
 
-/** A template as written by an operator. `moveWeight` in [0, 1]: 0 favours attainment, 1 favours few moves. */
+/** A template as written by an operator. `moveWeight` in [0, 1]: 0 favours deadline attainment, 1 favours few moves. */
 export const Template = Schema.Struct({
   name: Name,
   customer: Name,
--- a/src/engine/engineServer.ts
+++ b/src/engine/engineServer.ts
@@ -65,7 +65,7 @@
   private readonly log;
   private readonly orders: OrderExecutor;
   private role = "mixed";
-  private drainedAt: number | undefined;
+  private drainStartedAt: number | undefined;
   private received = 0;
   private receivedAfterDrain = 0;
   private readonly boot = crypto.randomUUID();
@@ -93,8 +93,8 @@
   /** Binds and serves; resolves with the port. */
   async start(): Promise<number> {
     const endpoint = new RpcEndpoint({
-      "engine.load": (p) => this.ordered(this.orders.load(decodeParams(protocol.LoadOrder, p))),
-      "engine.unload": (p) => this.ordered(this.orders.unload(decodeParams(protocol.UnloadOrder, p))),
+      "engine.load": (p) => this.statusAfter(this.orders.load(decodeParams(protocol.LoadOrder, p))),
+      "engine.unload": (p) => this.statusAfter(this.orders.unload(decodeParams(protocol.UnloadOrder, p))),
       "engine.faults": (p) => {
         this.orders.faults = decodeParams(OrderFaults, p);
         return Promise.resolve(this.orders.faults);
@@ -125,13 +125,13 @@
    * with `draining`, and streams in flight run to completion.
    */
   drain(): protocol.EngineStatus {
-    this.drainedAt ??= Date.now();
+    this.drainStartedAt ??= Date.now();
     this.log.info({ event: "draining" });
     return this.status();
   }
 
   /** Resolves when no stream is in flight, or after `timeoutMs`. */
-  async drained(timeoutMs: number): Promise<void> {
+  async waitUntilIdle(timeoutMs: number): Promise<void> {
     const until = Date.now() + timeoutMs;
     while (this.batcher.inFlight > 0 && Date.now() < until) await sleep(20);
   }
@@ -155,20 +155,20 @@
       revision: this.memory.revision,
       fencing: this.memory.fencing,
       role: this.role,
-      draining: this.drainedAt !== undefined,
+      draining: this.drainStartedAt !== undefined,
       received: this.received,
       receivedAfterDrain: this.receivedAfterDrain,
     };
   }
 
-  private async ordered(order: Promise<void>): Promise<protocol.EngineStatus> {
+  private async statusAfter(order: Promise<void>): Promise<protocol.EngineStatus> {
     await order;
     return this.status();
   }
 
   private report(known: typeof protocol.ReportParams.Type): protocol.EngineReport {
     const unchanged = known.boot === this.boot && known.revision === this.memory.revision;
-    const draining = this.drainedAt !== undefined;
+    const draining = this.drainStartedAt !== undefined;
     return { load: this.reportedLoad, draining, ...(unchanged ? {} : { status: this.status() }) };
   }
 
@@ -183,7 +183,7 @@
     }
     const request = decode(CompletionRequest, await readJson(req));
     this.received += 1;
-    if (this.drainedAt !== undefined) {
+    if (this.drainStartedAt !== undefined) {
       this.receivedAfterDrain += 1;
       throw new Failure("draining", `${this.options.id} is shutting down; send requests to another engine`);
     }
@@ -195,7 +195,7 @@
       o._tag === "Some" ? o.value : "normal",
     );
     const chat = req.url === "/v1/chat/completions";
-    const reply = new CompletionWriter(
+    const writer = new CompletionWriter(
       res,
       { id: requestId, model: request.model, chat },
       request.stream === true,
@@ -209,14 +209,14 @@
       resume: request.resume ?? 0,
       maxTokens: request.max_tokens ?? 16,
       onToken: (token) => {
-        reply.writeToken(token);
+        writer.writeToken(token);
       },
       onWaiting: () => {
-        reply.writeKeepAlive();
+        writer.writeKeepAlive();
       },
       onEnd: (reason) => {
         this.memory.releaseUse(request.model);
-        reply.end(reason);
+        writer.end(reason);
       },
     });
     // A disconnected caller cancels its stream, which frees the batch slot.
--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -69,7 +69,7 @@
     if (overutilization <= 1) return;
     const { entitlement, model, tokens, requestId } = request;
     const { times } = this.options;
-    const expectedMs = times.expected(model, tokens) + (overutilization - 1) * times.mean(model);
+    const expectedMs = times.expectedMs(model, tokens) + (overutilization - 1) * times.meanMs(model);
     const leftMs = request.deadline - Date.now();
     const overShare = this.overShare(entitlement, engine);
     if (expectedMs <= leftMs * (overShare ? overShareToleranceRatio : deadlineToleranceRatio)) return;
--- a/src/entry/completions.ts
+++ b/src/entry/completions.ts
@@ -173,7 +173,7 @@
   private async waitForFirstReplica(completion: Completion): Promise<boolean> {
     const { router, times, meter, demandReporter, receiptWaitMs } = this.options;
     const { model } = completion.request;
-    const latestStart = completion.deadline - times.expected(model, tokensOf(completion.request));
+    const latestStart = completion.deadline - times.expectedMs(model, tokensOf(completion.request));
     const receiptDeadline = Date.now() + receiptWaitMs;
     const stopWaiting = meter.startWaiting(model);
     try {
--- a/src/entry/configWatcher.ts
+++ b/src/entry/configWatcher.ts
@@ -78,8 +78,8 @@
     const { rows, revision } = await this.changes();
     let changed = false;
     for (const row of rows) changed = this.accept(row) || changed;
-    // A poll answered by a lagging replica could carry an older revision; taking the maximum keeps the
-    // watermark from moving back.
+    // A response from a lagging replica of the table service could carry an older revision; taking the maximum
+    // keeps the watermark from moving back.
     this.revision = Math.max(this.revision, revision);
     if (changed) this.entitlements = merge(this.live());
   }
--- a/src/entry/entryNode.ts
+++ b/src/entry/entryNode.ts
@@ -1,5 +1,6 @@
 /**
- * One entry node: a supervisor over its tasks (config watcher, fleet, membership, placement, HTTP server).
+ * One entry node, the older of the two roles that serve callers (the other is in `src/gateway`): a supervisor over its
+ * tasks (config watcher, fleet, membership, placement, HTTP server).
  * `drain` is the graceful shutdown: stop advertising, reject new requests with a retry hint, finish those in flight.
  */
 import * as http from "node:http";
@@ -122,7 +123,7 @@
     });
     this.meter = new DemandMeter({
       node: options.id,
-      serviceMs: (model) => this.times.mean(model),
+      serviceMs: (model) => this.times.meanMs(model),
     });
   }
 
--- a/src/entry/ledger.ts
+++ b/src/entry/ledger.ts
@@ -37,7 +37,7 @@
   | { readonly kind: "in-progress"; readonly requestId: string }
   | { readonly kind: "unknown"; readonly requestId: string };
 
-/** Records per (customer, idempotency key) in rows `idempotency/<customer>/<key>`. */
+/** Keeps one row per customer and idempotency key, `idempotency/<customer>/<key>`. */
 export class Ledger {
   private readonly options: LedgerOptions & typeof defaults;
   private readonly platform: PlatformClient;
--- a/src/entry/membership.ts
+++ b/src/entry/membership.ts
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Live members, those in the caller's zone first; a draining node excludes itself. */
+  /** Live members, those in `zone` first; a draining node excludes itself. */
   addresses(zone: string | undefined): Member[] {
     // Staleness is measured against the last successful scan, not the current time: while the store is
     // unavailable no heartbeat is renewed, and every node would otherwise go stale and callers get no address.
--- a/src/entry/placementController.ts
+++ b/src/entry/placementController.ts
@@ -29,11 +29,11 @@
   readonly everyMs?: number;
   /** How long an engine that failed an order gets no new loads, in ms. */
   readonly orderBackoffMs?: number;
-  /** How long a planned replica may wait for free memory (streams of the evicted model end first), in ms. */
-  readonly planTimeoutMs?: number;
+  /** How long a pending load may wait for free memory (streams of the evicted model end first), in ms. */
+  readonly pendingLoadTimeoutMs?: number;
 }
 
-const defaults = { everyMs: 500, orderBackoffMs: 5000, planTimeoutMs: 15_000 };
+const defaults = { everyMs: 500, orderBackoffMs: 5000, pendingLoadTimeoutMs: 15_000 };
 
 /** A replica that is planned and not yet reported by its engine. */
 interface PendingLoad {
@@ -69,7 +69,7 @@
       .flatMap((engine) => engine.status?.residents ?? [])
       .filter((resident) => resident.state === "loading")
       .map((resident) => resident.model);
-    return [...new Set([...loading, ...this.pendingLoads.map((plan) => plan.need.model)])];
+    return [...new Set([...loading, ...this.pendingLoads.map((pending) => pending.need.model)])];
   }
 
   /** Stops placement and releases the lease locally. */
@@ -100,7 +100,7 @@
         ...need,
         unmetSince: this.unmetSince.get(need.model) ?? 0,
       })),
-      loads: budget.available(running + this.pendingLoads.length),
+      maxLoads: budget.available(running + this.pendingLoads.length),
     });
     for (const move of moves) {
       if (move.kind === "unload") this.sendOrder(move, () => this.unload(move));
@@ -120,7 +120,7 @@
 
   /** Sends the orders that are due: evictions for pending loads, then the loads whose memory is free. */
   private sendDueOrders(models: ReadonlyMap<string, PlacedModel>): void {
-    this.dropFinished();
+    this.prunePendingLoads();
     for (const evicted of this.dueEvictions()) this.sendOrder(evicted, () => this.unload(evicted));
     for (const { engine, model } of this.dueLoads(models))
       this.sendOrder({ address: engine.address, model: model.spec.name }, () => this.load(engine, model));
@@ -163,7 +163,7 @@
         return { ...resident, since };
       });
       const planned = this.pendingLoads
-        .filter((plan) => plan.engine === engine.address)
+        .filter((pending) => pending.engine === engine.address)
         .map(({ need }): Replica => ({ ...need, state: "planned", since: now }));
       return [
         {
@@ -186,7 +186,7 @@
       engine: address,
       need,
       evict,
-      expiresAt: Date.now() + this.options.planTimeoutMs,
+      expiresAt: Date.now() + this.options.pendingLoadTimeoutMs,
     });
     this.options.log.info({
       event: "place",
@@ -205,7 +205,7 @@
   /** Replicas to evict for pending loads whose engine doesn't report them as unloading yet. */
   private dueEvictions(): Unload[] {
     return this.pendingLoads
-      .flatMap((plan) => plan.evict)
+      .flatMap((pending) => pending.evict)
       .filter((evicted) =>
         this.engine(evicted.address)?.status?.residents.some(
           (r) => r.model === evicted.model && r.version === evicted.version && r.state !== "unloading",
@@ -214,26 +214,27 @@
   }
 
   /** Drops pending loads whose replica is reported, whose engine is gone, or that have timed out. */
-  private dropFinished(): void {
+  private prunePendingLoads(): void {
     const now = Date.now();
-    this.pendingLoads = this.pendingLoads.filter((plan) => {
-      const engine = this.engine(plan.engine);
-      if (engine?.status === undefined || plan.expiresAt <= now) return false;
+    this.pendingLoads = this.pendingLoads.filter((pending) => {
+      const engine = this.engine(pending.engine);
+      if (engine?.status === undefined || pending.expiresAt <= now) return false;
       return !engine.status.residents.some(
-        (r) => r.model === plan.need.model && r.version === plan.need.version && r.state !== "unloading",
+        (r) =>
+          r.model === pending.need.model && r.version === pending.need.version && r.state !== "unloading",
       );
     });
   }
 
   /** Pending loads whose memory is free by the engine's own report. */
   private dueLoads(models: ReadonlyMap<string, PlacedModel>): { engine: Engine; model: PlacedModel }[] {
-    return this.pendingLoads.flatMap((plan) => {
-      const engine = this.engine(plan.engine);
-      const model = models.get(plan.need.model);
+    return this.pendingLoads.flatMap((pending) => {
+      const engine = this.engine(pending.engine);
+      const model = models.get(pending.need.model);
       // Prevents reusing memory before the unload is done: the order waits until the engine itself reports
       // the memory free and the old replica gone; the engine checks again before it reserves.
-      const fits = engine?.status !== undefined && freeMbOf(engine.status) >= plan.need.sizeMb;
-      const gone = !engine?.status?.residents.some((r) => r.model === plan.need.model);
+      const fits = engine?.status !== undefined && freeMbOf(engine.status) >= pending.need.sizeMb;
+      const gone = !engine?.status?.residents.some((r) => r.model === pending.need.model);
       return engine !== undefined && model !== undefined && fits && gone ? [{ engine, model }] : [];
     });
   }
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -1,6 +1,6 @@
 /**
  * Selects the engine for each request among the usable engines that have the model ready, by the configured
- * routing policy. Writes one JSON log line per decision.
+ * routing policy. Logs each decision with its alternatives.
  */
 import type { Resident } from "../common/engineProtocol.ts";
 import type { Log } from "../common/log.ts";
@@ -28,7 +28,7 @@
 /** Number of leading characters of a prompt that form its prefix. */
 const prefixChars = 64;
 
-/** Selects engines; its only state is the number of selections. */
+/** Selects engines; its only state is the number of selections so far. */
 export class Router {
   private readonly options: RouterOptions & typeof defaults;
   private sequence = 0;
@@ -46,13 +46,13 @@
       .filter((engine) => !exclude.has(engine.address))
       .filter((engine) => hasReplica(engine, model, "ready"));
     this.sequence += 1;
-    const choice = {
+    const rankingInput = {
       candidates,
       zone,
       prefix: request.prompt.slice(0, prefixChars),
       sequence: this.sequence,
     };
-    const ranked = candidates.length === 0 ? [] : rankings[policy](choice);
+    const ranked = candidates.length === 0 ? [] : rankings[policy](rankingInput);
     const engine = ranked[0];
     log.info({
       event: "route",
--- a/src/entry/routingPolicies.ts
+++ b/src/entry/routingPolicies.ts
@@ -19,7 +19,7 @@
 }
 
 /** Orders the candidates, best first. */
-export type Ranking = (choice: RankingInput) => Engine[];
+export type Ranking = (input: RankingInput) => Engine[];
 
 /** Utilization by which an engine may exceed the least utilized one to reuse a cached prefix, as a fraction of its slots. */
 const affinitySlackRatio = 0.25;
--- a/src/entry/serviceTimes.ts
+++ b/src/entry/serviceTimes.ts
@@ -13,7 +13,7 @@
   requestMs: number;
 }
 
-/** Records and predicts service times by model; a model without samples gets the average over all models. */
+/** Records and predicts service times by model; for a model without samples the average over all models is used. */
 export class ServiceTimes {
   private readonly models = new Map<string, ServiceTimeAverage>();
   private overall: ServiceTimeAverage | undefined;
@@ -26,12 +26,12 @@
   }
 
   /** Mean time of a request for `model`, in ms; 0 if nothing is known. */
-  mean(model: string): number {
+  meanMs(model: string): number {
     return (this.models.get(model) ?? this.overall)?.requestMs ?? 0;
   }
 
   /** Expected time of a request for up to `tokens` tokens of `model`, in ms; 0 if nothing is known. */
-  expected(model: string, tokens: number): number {
+  expectedMs(model: string, tokens: number): number {
     return ((this.models.get(model) ?? this.overall)?.perTokenMs ?? 0) * (tokens + prefillCostTokens);
   }
 }
--- a/src/explain/logLine.ts
+++ b/src/explain/logLine.ts
@@ -1,4 +1,4 @@
-/** Parses log lines for `explain`. */
+/** Parses the JSON lines of host logs for `explain`. */
 import * as Schema from "effect/Schema";
 import { decodeEither } from "../common/decode.ts";
 
--- a/src/placement/baselinePlanners.ts
+++ b/src/placement/baselinePlanners.ts
@@ -9,10 +9,10 @@
   const moves: Move[] = obsoleteUnloads(draft);
   const smallest = Math.min(...snapshot.needs.map((need) => need.sizeMb));
   if (draft.accelerators.every((accelerator) => draft.freeMb(accelerator) < smallest)) return moves;
-  const most = Math.max(1, ...snapshot.needs.map((need) => need.replicas));
-  for (let replicas = 1; replicas <= most; replicas += 1) {
+  const maxReplicas = Math.max(1, ...snapshot.needs.map((need) => need.replicas));
+  for (let replicas = 1; replicas <= maxReplicas; replicas += 1) {
     for (const need of snapshot.needs) {
-      if (moves.length >= snapshot.loads) return moves;
+      if (moves.length >= snapshot.maxLoads) return moves;
       if (draft.currentVersionCount(need) >= Math.min(replicas, need.replicas)) continue;
       const load = loadIntoMostFreeMemory(draft, need) ?? replaceOldVersion(draft, need);
       if (load === undefined) continue;
@@ -27,11 +27,11 @@
 export function lruPlanner(snapshot: Snapshot): Move[] {
   const draft = new Draft(snapshot);
   const moves: Move[] = obsoleteUnloads(draft);
-  let loads = snapshot.loads;
+  let remainingLoads = snapshot.maxLoads;
   for (const need of snapshot.needs) {
     const wanted = draft.replicaCount(need.model) === 0 && need.waiting > 0;
     const keep = draft.currentVersionCount(need) < need.replicas;
-    if (loads <= 0 || (!wanted && !keep)) continue;
+    if (remainingLoads <= 0 || (!wanted && !keep)) continue;
     const load =
       loadIntoMostFreeMemory(draft, need) ??
       replaceOldVersion(draft, need) ??
@@ -39,7 +39,7 @@
     if (load === undefined) continue;
     applyLoad(draft, load);
     moves.push(load);
-    loads -= 1;
+    remainingLoads -= 1;
   }
   return moves;
 }
--- a/src/placement/demandPlanner.ts
+++ b/src/placement/demandPlanner.ts
@@ -10,7 +10,7 @@
 
 /** Tuning of the demand planner; figures in docs/design/002-placement-policy.md. */
 export interface DemandPlannerOptions {
-  /** Fraction of an engine's slots that expected load may fill before an additional replica is considered. */
+  /** Fraction of an engine's slots that expected streams may fill before an additional replica is considered. */
   readonly targetUtilization?: number;
   /** Time over which an additional replica must make up for the cost of its moves, in seconds. */
   readonly horizonSeconds?: number;
@@ -44,7 +44,7 @@
 /** What one arriving request adds to the short-term demand average, in streams. */
 const requestDemand = 0.15;
 
-/** Most models, and most engines, considered for an additional replica: those with most demand, and with least load. */
+/** Most models, and most engines, considered for an additional replica: those with the highest demand and the lowest utilization. */
 const maxCandidates = 24;
 
 /** Creates a demand planner. */
@@ -56,24 +56,24 @@
 function plan(snapshot: Snapshot, options: Options): Move[] {
   const draft = new Draft(snapshot);
   const moves: Move[] = obsoleteUnloads(draft);
-  let loads = snapshot.loads;
+  let remainingLoads = snapshot.maxLoads;
   const applyMove = (load: Load | undefined): boolean => {
     if (load === undefined) return false;
     applyLoad(draft, load);
     moves.push(load);
-    loads -= 1;
+    remainingLoads -= 1;
     return true;
   };
   const missing = byUrgency(snapshot.needs).filter((need) => draft.replicaCount(need.model) === 0);
   for (const need of missing) {
-    if (loads <= 0) return moves;
+    if (remainingLoads <= 0) return moves;
     applyMove(loadIntoFreeMemory(draft, need, "first-copy"));
   }
   for (const need of snapshot.needs)
-    while (loads > 0 && draft.currentVersionCount(need) < need.replicas)
+    while (remainingLoads > 0 && draft.currentVersionCount(need) < need.replicas)
       if (!applyMove(loadIntoFreeMemory(draft, need, "keep-replicas") ?? replaceOldVersion(draft, need)))
         break;
-  while (loads > 0 && applyMove(bestReplacement(draft, missing, options)));
+  while (remainingLoads > 0 && applyMove(bestReplacement(draft, missing, options)));
   return moves;
 }
 
@@ -134,31 +134,33 @@
 function loadIntoFreeMemory(draft: Draft, need: Need, reason: string): Load | undefined {
   const withRoom = draft.loadable(need).filter((accelerator) => draft.freeMb(accelerator) >= need.sizeMb);
   if (withRoom.length === 0) return undefined;
-  const loads = draft.expectedLoads();
+  const expectedStreams = draft.expectedStreams();
   const fits = withRoom.sort(
-    (a, b) => utilization(a, loads) - utilization(b, loads) || draft.freeMb(b) - draft.freeMb(a),
+    (a, b) =>
+      utilization(a, expectedStreams) - utilization(b, expectedStreams) || draft.freeMb(b) - draft.freeMb(a),
   );
   return fits[0] === undefined ? undefined : loadReplacing(fits[0], need, [], reason);
 }
 
 /** An additional replica of a model with an engine above the target utilization, on an engine below it. */
 function additionalReplica(draft: Draft, options: Options): Replacement | undefined {
-  const loads = draft.expectedLoads();
+  const expectedStreams = draft.expectedStreams();
   // While the pool can hold every model, last replicas are never evicted for an additional replica, which would
   // make another model unreachable. If it cannot, models share the pool over time by their demand value.
   const allowRequested = draft.overcommitted;
   let best: Replacement | undefined;
   const overutilized = draft.snapshot.needs
     .filter((need) =>
-      draft.holders(need.model).some((h) => utilization(h, loads) >= options.targetUtilization),
+      draft.holders(need.model).some((h) => utilization(h, expectedStreams) >= options.targetUtilization),
     )
     .sort((a, b) => b.weight * b.demand - a.weight * a.demand)
     .slice(0, maxCandidates);
   const free = draft.accelerators
     .filter(
-      (accelerator) => accelerator.loadable && utilization(accelerator, loads) < options.targetUtilization,
+      (accelerator) =>
+        accelerator.loadable && utilization(accelerator, expectedStreams) < options.targetUtilization,
     )
-    .sort((a, b) => utilization(a, loads) - utilization(b, loads))
+    .sort((a, b) => utilization(a, expectedStreams) - utilization(b, expectedStreams))
     .slice(0, maxCandidates);
   for (const need of overutilized) {
     for (const accelerator of free) {
@@ -166,7 +168,7 @@
       const evicted = victims(draft, accelerator, need, options, allowRequested);
       if (evicted === undefined) continue;
       const load = loadReplacing(accelerator, need, evicted, "demand");
-      const gain = need.weight * excessReduction(draft, loads, accelerator, need, evicted, options);
+      const gain = need.weight * excessReduction(draft, expectedStreams, accelerator, need, evicted, options);
       const netGain = gain * options.horizonSeconds - replacementCost(draft, need, evicted, options);
       if (netGain > (best?.netGain ?? 0)) best = { load, netGain };
     }
@@ -228,17 +230,17 @@
 }
 
 /** Streams above an engine's target utilization, which wait or slow down the others. */
-function excessStreams(accelerator: DraftAccelerator, load: number, options: Options): number {
-  return Math.max(0, load - options.targetUtilization * accelerator.slots);
+function excessStreams(accelerator: DraftAccelerator, streams: number, options: Options): number {
+  return Math.max(0, streams - options.targetUtilization * accelerator.slots);
 }
 
 /**
  * Reduction of streams above the targets with one more replica of `need` on `accelerator` in place of `evicted`.
- * Only engines whose load changes are evaluated, so the cost doesn't grow with the pool.
+ * Evaluates only engines whose expected streams change, so the cost doesn't grow with the pool.
  */
 function excessReduction(
   draft: Draft,
-  loads: ReadonlyMap<DraftAccelerator, number>,
+  expectedStreams: ReadonlyMap<DraftAccelerator, number>,
   accelerator: DraftAccelerator,
   need: Need,
   evicted: readonly Replica[],
@@ -258,14 +260,17 @@
     for (const holder of draft.holders(replica.model))
       if (holder !== accelerator) addLoad(holder, demand / (before - 1) - demand / before);
   }
-  return sum([...loadChanges], ([on, streams]) => {
-    const load = loads.get(on) ?? 0;
-    return excessStreams(on, load, options) - excessStreams(on, load + streams, options);
+  return sum([...loadChanges], ([on, change]) => {
+    const current = expectedStreams.get(on) ?? 0;
+    return excessStreams(on, current, options) - excessStreams(on, current + change, options);
   });
 }
 
-function utilization(accelerator: DraftAccelerator, loads: ReadonlyMap<DraftAccelerator, number>): number {
-  return (loads.get(accelerator) ?? 0) / accelerator.slots;
+function utilization(
+  accelerator: DraftAccelerator,
+  expectedStreams: ReadonlyMap<DraftAccelerator, number>,
+): number {
+  return (expectedStreams.get(accelerator) ?? 0) / accelerator.slots;
 }
 
 function loadReplacing(
--- a/src/placement/draft.ts
+++ b/src/placement/draft.ts
@@ -6,7 +6,7 @@
   residents: Replica[];
 }
 
-/** Mutable view of the pool: free memory, replicas and expected load after the moves applied so far. */
+/** Mutable view of the pool: free memory, replicas and expected streams after the moves applied so far. */
 export class Draft {
   readonly accelerators: DraftAccelerator[];
   private readonly needs: ReadonlyMap<string, Need>;
@@ -100,7 +100,7 @@
   }
 
   /** Expected concurrent streams on each accelerator, with a model's demand split evenly over its replicas. */
-  expectedLoads(): Map<DraftAccelerator, number> {
+  expectedStreams(): Map<DraftAccelerator, number> {
     return new Map(
       this.accelerators.map((accelerator) => [
         accelerator,
--- a/src/placement/snapshot.ts
+++ b/src/placement/snapshot.ts
@@ -1,4 +1,7 @@
-/** Input of a placement planner, and the moves it returns. Plain data, no I/O. */
+/**
+ * Input of a placement planner, and the moves it returns. Plain data, no I/O. These planners place models for entry
+ * nodes; gateway nodes have their own in `src/serving`.
+ */
 
 /** A model replica on an engine; a `planned` one is ordered or about to be, and not yet reported by the engine. */
 export interface Replica {
@@ -51,8 +54,8 @@
   readonly now: number;
   readonly accelerators: readonly Accelerator[];
   readonly needs: readonly Need[];
-  /** Loads that may start now within the weight store's limits. */
-  readonly loads: number;
+  /** Maximum number of loads that may start now, within the weight store's limits. */
+  readonly maxLoads: number;
 }
 
 /** A model to unload from an engine. */
--- a/src/platform/platformServer.ts
+++ b/src/platform/platformServer.ts
@@ -109,7 +109,7 @@
         this.hosts.set(decodeParams(Host, p));
         return Promise.resolve({ ok: true });
       }),
-      // The fault switches work even while the platform is "down", so that a test can clear the fault.
+      // Can be called while the platform is "down", so that a test can clear the fault.
       "faults.set": (p) => {
         this.faults = decodeParams(Faults, p);
         this.log.warn({ event: "faults", faults: this.faults });
